--- /dev/null
+++ b/archhatch/__init__.py
@@ -0,0 +1,1 @@
+"""archhatch: a rollout scheduler for trainers that share model replicas with live traffic."""
--- /dev/null
+++ b/archhatch/__main__.py
@@ -0,0 +1,14 @@
+"""Entry point of `python3 -m archhatch`: prepares the process, then runs the command line."""
+
+import os
+import sys
+
+# Importing aiohttp creates a TLS context that loads every certificate of the machine's trust store: 50 ms of processor
+# time and 2 MB for each process. Nodes and replicas use plain HTTP; code that calls out over TLS makes its own context.
+os.environ.setdefault("SSL_CERT_FILE", os.devnull)
+sys.path.insert(0, os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "target", "deps"))
+
+from .cli.commands import main  # noqa: E402
+
+if __name__ == "__main__":
+    main(sys.argv)
--- a/lines/autoscale/controller.py
+++ b/archhatch/autoscaler/controller.py
@@ -9,11 +9,11 @@
 import asyncio
 from collections import Counter
 
-from ..cloud import PlatformClient
-from ..ledger.commands import split_key
-from ..ledger.effect import EffectFailed, protect
-from ..ledger.lease import DutyCallFailed, StandingLease
-from ..ledger.record import DutyState
+from ..platform_client import PlatformClient
+from ..singleton_roles.commands import split_key
+from ..singleton_roles.effect import EffectFailed, protect
+from ..singleton_roles.lease import DutyCallFailed, StandingLease
+from ..singleton_roles.record import DutyState
 from .policy import ScaleLimits, ServiceScaler, spread
 
 DUTY = "scaling"  # the name in the settings
--- a/lines/erlang/command.py
+++ b/archhatch/capacity/command.py
@@ -1,4 +1,4 @@
-"""`archhatch.py capacity measure | table | check | write`: what is asked for on the command line."""
+"""`archhatch capacity measure | table | check | write`: what is asked for on the command line."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 def _check(cap) -> int:
     if cap.read_page()[1] == cap.text():
         return 0
-    print(f"archhatch: {cap.page}: the table is stale; run `archhatch.py capacity write`", file=sys.stderr)
+    print(f"archhatch: {cap.page}: the table is stale; run `archhatch capacity write`", file=sys.stderr)
     return 1
 
 
--- a/lines/erlang/hops.py
+++ b/archhatch/capacity/hops.py
@@ -116,7 +116,7 @@
 def _waves_landed(q, replicas: float) -> int:
     """Loads at once start at a sixth of the engines that the store knows, all of the roll, and grow by 0.34 for each
     one done as fast as the best."""
-    room, left, waves = max(2.0, q.s.replicas / need("supervisor.room", "LEAST")), replicas, 0
+    room, left, waves = max(2.0, q.s.replicas / need("rollout_controller.load_concurrency", "LEAST")), replicas, 0
     while left > 0:
         left -= int(room)
         room = min(room + 0.34 * int(room), replicas)
--- a/lines/erlang/measure.py
+++ b/archhatch/capacity/measure.py
@@ -56,7 +56,7 @@
                 best[name] = [[n, min(y, old[1])] for (n, y), old in zip(got, best.get(name, got))]
         return {
             **made_by(),
-            "Command": "archhatch.py capacity measure",
+            "Command": "archhatch capacity measure",
             "Repeats": self.rounds * self.repeats,
             "TookS": round(time.monotonic() - began, 1),
             "PeakMb": _peak_mb(),
@@ -74,7 +74,7 @@
     """The commit, whether the sources differ from it, and the Python that runs."""
     return {
         "Commit": _git("rev-parse", "--short=12", "HEAD"),
-        "Dirty": bool(_git("status", "--porcelain", "lines")),
+        "Dirty": bool(_git("status", "--porcelain", "archhatch")),
         "Python": platform.python_version(),
     }
 
--- a/lines/erlang/probes/agreement.py
+++ b/archhatch/capacity/probes/agreement.py
@@ -15,7 +15,7 @@
 
 async def owner(folders: list, val: dict):
     """An owner over keepers with a write-ahead log each; calls between them are encoded as on a connection."""
-    counters = need("frame", "Counters")()
+    counters = need("runtime", "Counters")()
     book = need("wal", "WriteAheadLog", "load", "append")
     keep = need("consensus", "Acceptor", "prepare", "accept", "confirm")
     books = [book(f, "core") for f in folders]
@@ -97,24 +97,24 @@
 
 @probe("plan.check", "cpu", "check a configuration", "routes", (50, 200, 800))
 async def _check(n):
-    check, doc = need("dialplan.schemas", "check_plan"), plan(n)
+    check, doc = need("routing.schemas", "check_plan"), plan(n)
     yield (lambda: check(doc)), 1
 
 
 @probe("plan.make", "cpu", "make a configuration ready for look-ups", "routes", (50, 200, 800))
 async def _make(n):
-    made, doc = need("dialplan", "Plan", "lane"), plan(n)
+    made, doc = need("routing", "Plan", "lane"), plan(n)
     yield (lambda: [made(doc) for _ in range(5)]), 5
 
 
 @probe("plan.memory", "memory", "a configuration in hand, as JSON and as look-ups", "routes", (200, 800))
 async def _memory(n):
-    made, raw = need("dialplan", "Plan"), orjson.dumps(plan(n))
+    made, raw = need("routing", "Plan"), orjson.dumps(plan(n))
     yield (lambda: made(orjson.loads(raw))), 1
 
 
 @probe("plan.merge", "cpu", "apply a change of one route", "routes", (50, 200, 800))
 async def _merge(n):
-    merge, doc = need("dialplan.patch", "merge"), plan(n)
+    merge, doc = need("routing.patch", "merge"), plan(n)
     change = {"Revision": 2, "Upsert": {"RouteTable": [copy.deepcopy(doc["RouteTable"][0])]}}
     yield (lambda: [merge(doc, change) for _ in range(20)]), 20
--- a/lines/erlang/probes/control.py
+++ b/archhatch/capacity/probes/control.py
@@ -15,7 +15,7 @@
 
 
 def full_roll(n: int):
-    roll = need("directory.roll", "Roll", "beat", "since", "sweep", "beats_since")()
+    roll = need("membership.replica_registry", "Roll", "beat", "since", "sweep", "beats_since")()
     for i in range(n):
         roll.beat(entry(i), 0.0)
     return roll
@@ -206,8 +206,8 @@
 
 @probe("beat.call", "cpu", "decode, fold and answer a beat, without its HTTP", "beats", (500, 1000, 2000))
 async def _call(n):
-    one, decode = core(n), need("control.calls", "decode")
-    need("control.administration", "Administration", "beat")
+    one, decode = core(n), need("control.api_requests", "decode")
+    need("control.admin_api", "Administration", "beat")
     raws = [(f"/api/instances/{entry(i)['id']}", beat_body(i, 9)) for i in range(n)]
 
     async def fn():
@@ -231,8 +231,8 @@
 
 def made_reader():
     """A reader of news that asks nobody."""
-    b, frame = boot(), "frame"
-    return need("directory", "Newsreader", "fold", "take_roll")(
+    b, frame = boot(), "runtime"
+    return need("membership", "Newsreader", "fold", "take_roll")(
         b, {"id": "e"}, None, need(frame, "Board")(), need(frame, "Clock")(), need(frame, "Counters")()
     )
 
--- a/lines/erlang/probes/lots.py
+++ b/archhatch/capacity/probes/lots.py
@@ -15,13 +15,13 @@
 
 @probe("lot.check", "cpu", "check a lot at an edge", "items", SOME)
 async def _check(n):
-    check, raw = need("batches", "check_lot"), orjson.dumps(lot(n))
+    check, raw = need("jobs", "check_lot"), orjson.dumps(lot(n))
     yield (lambda: check("a", raw)), 1
 
 
 @probe("lot.read", "cpu", "read a lot in at its holder", "items", SOME)
 async def _read(n):
-    read, raw = need("batches", "read_lot"), orjson.dumps(lot(n))
+    read, raw = need("jobs", "read_lot"), orjson.dumps(lot(n))
     head = {"lot": "a", "run": "service-00", "host": "h", "path": "/roll/"}
     yield (lambda: read(head, raw, 0.0)), 1
 
@@ -33,7 +33,7 @@
 
 @probe("lot.memory", "memory", "a lot in hand beside its bytes", "items", (512, 2048))
 async def _memory(n):
-    read = need("batches", "read_lot")
+    read = need("jobs", "read_lot")
 
     def fn():
         raw = orjson.dumps(lot(n))
@@ -44,7 +44,7 @@
 
 def sample(n: int, size: int = 4000):
     """One result's record with a text of size bytes, as read from a frame: its bytes have no spare room."""
-    return need("batches", "Record")(
+    return need("jobs", "Record")(
         {"k": "R", "lot": "a", "run": "service-00", "pos": n, "term": 1, "item": f"it-{n:06d}", "by": 1},
         bytes(
             bytearray(
@@ -69,14 +69,14 @@
 
 @probe("records.pack", "cpu", "pack results of 4,000 bytes for another store", "results", (50, 200, 800))
 async def _pack(n):
-    pack, recs = need("batches.record", "pack_many"), [sample(i) for i in range(n)]
+    pack, recs = need("jobs.record", "pack_many"), [sample(i) for i in range(n)]
     yield (lambda: [pack(recs) for _ in range(5)]), 5
 
 
 @probe("records.unpack", "cpu", "unpack them", "results", (50, 200, 800))
 async def _unpack(n):
-    raw = need("batches.record", "pack_many")([sample(i) for i in range(n)])
-    unpack = need("batches.record", "unpack_many")
+    raw = need("jobs.record", "pack_many")([sample(i) for i in range(n)])
+    unpack = need("jobs.record", "unpack_many")
     yield (lambda: [unpack(raw) for _ in range(5)]), 5
 
 
@@ -84,10 +84,10 @@
     """A shelf over a write-ahead log in a folder that goes."""
 
     def __init__(self):
-        self.tmp, frame = folder(), "frame"
+        self.tmp, frame = folder(), "runtime"
         self.ctr = need(frame, "Counters")()
         self.book = need("wal", "WriteAheadLog", "load", "start")(self.tmp.name, "store", Quiet())
-        self.shelf = need("batches", "RecordStore", "append", "load")(self.book, need(frame, "Clock")(), self.ctr)
+        self.shelf = need("jobs", "RecordStore", "append", "load")(self.book, need(frame, "Clock")(), self.ctr)
 
     def open(self):
         self.shelf.load(self.book.load())
@@ -116,7 +116,7 @@
 )
 async def _copy(n):
     kept = [Kept().open() for _ in range(3)]
-    unpack, frame = need("batches.record", "unpack_many"), "frame"
+    unpack = need("jobs.record", "unpack_many")
 
     class Connection:
         def __init__(self, to):
@@ -126,10 +126,10 @@
             return 1000, await self.to.shelf.append(unpack(body)), b""
 
     lines = types.SimpleNamespace(to=lambda addr: Connection(kept[int(addr)]))
-    crew = need(frame, "Crew")(Quiet(), kept[0].ctr)
+    crew = need("runtime", "Crew")(Quiet(), kept[0].ctr)
     members = {f"s{i}": {"state": "active", "addr": str(i), "zone": f"zone-{i:02d}"} for i in range(3)}
-    quorum = need("batches", "Quorum", "enough", "pick")(2)  # two machines may be lost: three copies
-    copier = need("batches", "Replicator", "put")(
+    quorum = need("jobs", "Quorum", "enough", "pick")(2)  # two machines may be lost: three copies
+    copier = need("jobs", "Replicator", "put")(
         "s0", kept[0].shelf, lines, lambda: members, lambda sid: True, crew, kept[0].ctr, 5.0, quorum
     )
     recs = [sample(i) for i in range(n)]
@@ -149,7 +149,7 @@
 
 @probe("events.read", "cpu", "cut events of a stream, each come alone", "events", (500, 2000, 8000))
 async def _events(n):
-    reader = need("sends.events", "EventReader", "feed")()
+    reader = need("upstream.event_stream", "EventReader", "feed")()
     raws = [b"id: %d\ndata: token%d\n\n" % (i, i) for i in range(n)]
 
     def fn():
@@ -166,7 +166,7 @@
 
 def engines(n: int):
     """Engines of n replicas."""
-    one = need("supervisor", "Engines", "fold")()
+    one = need("rollout_controller", "Engines", "fold")()
     one.fold([entry(i) for i in range(n)])
     return one
 
--- a/lines/erlang/probes/process.py
+++ b/archhatch/capacity/probes/process.py
@@ -34,9 +34,9 @@
 
 
 for _name, _mod in (
-    ("resident.core", "lines.control.node"),
-    ("resident.store", "lines.store.node"),
-    ("resident.edge", "lines.switchboard.edge"),
+    ("resident.core", "archhatch.control.node"),
+    ("resident.store", "archhatch.store.node"),
+    ("resident.edge", "archhatch.data_plane.edge"),
 ):
     _resident(_name, _mod)
 
@@ -49,7 +49,7 @@
     async def _ping(doc, body):
         return {"ok": True}
 
-    ctr = need("frame", "Counters")()
+    ctr = need("runtime", "Counters")()
     desk = need("rpc", "Server", "open", "port", "close")(verbs, Quiet(), ctr)
     await desk.open("127.0.0.1:0")
     lines = need("rpc", "ConnectionPool", "to", "end")(ctr)
--- a/lines/erlang/reckon.py
+++ b/archhatch/capacity/reckon.py
@@ -54,7 +54,7 @@
 
     def _fit(self, name: str) -> Fit:
         if name not in self.fits:
-            raise SizeFault(self.path, f"Fits.{name}", "is missing; run `archhatch.py capacity measure` again")
+            raise SizeFault(self.path, f"Fits.{name}", "is missing; run `archhatch capacity measure` again")
         if name not in self.used:
             self.used.append(name)
         f = self.fits[name]
@@ -160,8 +160,8 @@
 
     @property
     def block(self) -> float:
-        """Replicas of a service that an edge uses first (sends/subset.py): some of its zone, one of each other one."""
-        return min(self.of_service, need("sends.subset", "HOME") + self.s.zones - 1)
+        """Replicas of a service that an edge uses first (upstream/subset): some of its zone, one of each other one."""
+        return min(self.of_service, need("upstream.subset", "HOME") + self.s.zones - 1)
 
     @property
     def polls(self) -> float:
--- a/lines/erlang/table.py
+++ b/archhatch/capacity/table.py
@@ -10,7 +10,7 @@
 from .reckon import Reckoner
 from .compare import Compare
 
-BEGIN = "<!-- capacity table: made by `archhatch.py capacity table`, not by hand -->"
+BEGIN = "<!-- capacity table: made by `archhatch capacity table`, not by hand -->"
 END = "<!-- end of the capacity table -->"
 SPREAD = 2.0  # how far the same slope lay apart in runs on one busy machine
 UNITS = {"core": (100, "% of a core"), "s": (1, " s")}
--- a/lines/frame/commands.py
+++ b/archhatch/cli/commands.py
@@ -1,4 +1,4 @@
-"""The command line: one program for each role, and the tools beside them."""
+"""Commands of `archhatch`: one program for each role, and the operator tools."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 from absl import flags
 
-from .boot import BootFault, read_boot
-from .logs import open_logs
+from ..runtime.settings import BootFault, read_boot
+from ..runtime.logs import open_logs
 
 FLAGS = flags.FLAGS
 flags.DEFINE_string("settings", None, "settings file; else $ARCHHATCH_CONFIG, else its usual place")
@@ -49,8 +49,9 @@
 
 COMMANDS: dict = {}
 USE = {
-    "switchboard": "take clients' requests (data plane; role of edge machines)",
-    "exchange": "exchange core | exchange store: hold control, or keep lots and run rollouts (control plane)",
+    "data-plane": "take clients' requests (role of edge machines)",
+    "control-plane": "agree on the configuration and on membership (role of core machines)",
+    "store": "keep batch jobs and run rollouts (role of storage machines)",
     "import": "turn a configuration file of nginx into an operator configuration, on standard output",
     "policy": "check, put, get or explain the placement policy, and take regions out or in",
     "evacuate": "plan, start, watch, cancel or return the move of a tenant to another region",
@@ -77,10 +78,10 @@
 
 def usage() -> str:
     """What --help prints."""
-    rows = "\n".join(f"  {n:<12} {w}" for n, w in USE.items())
+    rows = "\n".join(f"  {n:<13} {w}" for n, w in USE.items())
     return (
-        f"archhatch.py COMMAND [--flag=value ...]\n\n{rows}\n\nFlags of all commands:\n{FLAGS.main_module_help()}"
-        f"\n{FLAGS.module_help('lines.frame.commands')}"
+        f"archhatch COMMAND [--flag=value ...]\n\n{rows}\n\nFlags of all commands:\n{FLAGS.main_module_help()}"
+        f"\n{FLAGS.module_help('archhatch.cli.commands')}"
     )
 
 
@@ -145,8 +146,8 @@
     return 0
 
 
-@command("switchboard")
-def _switchboard(args) -> int:
+@command("data-plane")
+def _data_plane(args) -> int:
     boot = _boot()
     if boot is None:
         return 2
@@ -158,26 +159,29 @@
     except OSError as e:
         print(f"archhatch: settings: Bindings.FrontHttp: {e}", file=sys.stderr)
         return 1
-    from ..switchboard.edge import Edge
+    from ..data_plane.edge import Edge
 
     return _run(boot, lambda b, log: Edge(b, log, sock=sock))
 
 
-@command("exchange")
-def _exchange(args) -> int:
-    if args[:1] not in (["core"], ["store"]):
-        print("archhatch: exchange: say core or store", file=sys.stderr)
-        return 2
+@command("control-plane")
+def _control_plane(args) -> int:
     boot = _boot()
     if boot is None:
         return 2
-    if args[0] == "core" and "ControlPlane" not in boot.listen:
+    if "ControlPlane" not in boot.listen:
         print("archhatch: settings: Bindings: needs ControlPlane", file=sys.stderr)
         return 2
-    if args[0] == "core":
-        from ..control.node import ControlNode
+    from ..control.node import ControlNode
+
+    return _run(boot, ControlNode)
+
 
-        return _run(boot, ControlNode)
+@command("store")
+def _store(args) -> int:
+    boot = _boot()
+    if boot is None:
+        return 2
     from ..store.node import StoreNode
 
     return _run(boot, StoreNode)
@@ -185,7 +189,7 @@
 
 @command("doctor")
 def _doctor(args) -> int:
-    from ..testdesk import Doctor, report
+    from ..diagnostics import Doctor, report
 
     if args:
         print("archhatch: doctor takes no arguments, only --settings and --json", file=sys.stderr)
@@ -197,7 +201,7 @@
 
 @command("policy")
 def _policy(args) -> int:
-    from ..areacodes.desk import PolicyDesk
+    from ..region_policy.client import PolicyDesk
 
     return PolicyDesk(FLAGS).run(args)
 
@@ -211,14 +215,14 @@
 
 @command("duties")
 def _duties(args) -> int:
-    from ..ledger.client import DutyClient
+    from ..singleton_roles.client import DutyClient
 
     return DutyClient(FLAGS).run(args)
 
 
 @command("import")
 def _import(args) -> int:
-    from ..testdesk.importer import Importer, ImportFault
+    from ..diagnostics.importer import Importer, ImportFault
 
     if len(args) != 1:
         print("archhatch: import takes one file of nginx", file=sys.stderr)
@@ -236,7 +240,7 @@
 
 @command("capacity")
 def _capacity(args) -> int:
-    from ..erlang.command import Capacity
+    from ..capacity.command import Capacity
 
     return Capacity(out=FLAGS.out, slopes=FLAGS.slopes, size=FLAGS.size).run(args)
 
--- a/lines/consensus/__init__.py
+++ b/archhatch/consensus/__init__.py
@@ -2,7 +2,7 @@
 
 from .group import covers, majority, members
 from .acceptor import Acceptor
-from .ballot import Ballot
+from .proposal_number import Ballot
 from .proposer import Proposer, Unclear
 from .commands import Commands
 
--- a/lines/consensus/acceptor.py
+++ b/archhatch/consensus/acceptor.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from .ballot import ZERO, Ballot
+from .proposal_number import ZERO, Ballot
 
 
 class Acceptor:
--- a/lines/consensus/proposer.py
+++ b/archhatch/consensus/proposer.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 
-from .ballot import ZERO, Ballot, new_life
+from .proposal_number import ZERO, Ballot, new_life
 from .group import covers, members
 
 TRIES = 3  # rounds under new ballots before the outcome is called unclear
--- a/lines/control/administration.py
+++ b/archhatch/control/admin_api.py
@@ -5,11 +5,23 @@
 import asyncio
 
 from ..consensus import majority
-from ..directory import part_of
-from ..frame import fault_result, json_result
-from ..ledger.desk import DutyDesk
+from ..membership import part_of
+from ..runtime import fault_result, json_result
+from ..singleton_roles.admin import DutyDesk
 from ..rpc import Refusal
-from .calls import BadCall, Beat, GetPlan, Leave, OnDuty, OnEvacuation, OnPolicy, PutPlan, PutVersion, Retire, decode
+from .api_requests import (
+    BadCall,
+    Beat,
+    GetPlan,
+    Leave,
+    OnDuty,
+    OnEvacuation,
+    OnPolicy,
+    PutPlan,
+    PutVersion,
+    Retire,
+    decode,
+)
 from .registers import OTHERS, PLAN
 
 DONE = 1000
--- a/lines/control/agreement.py
+++ b/archhatch/control/agreement.py
@@ -5,10 +5,10 @@
 import orjson
 
 from ..consensus import Acceptor, Proposer, Unclear, members
-from ..directory import rank
+from ..membership import rank
 from ..rpc import CallError, Refusal
 from ..wal import LogError
-from ..consensus.regroup import GroupSize, Patience, Sight, wanted_group
+from ..consensus.reconfiguration import GroupSize, Patience, Sight, wanted_group
 from .registers import PARTS, PLAN, commands
 
 UNREACHED = 3003
--- a/lines/control/config_commands.py
+++ b/archhatch/control/config_commands.py
@@ -17,8 +17,8 @@
 import orjson
 
 from ..consensus import Commands
-from ..dialplan.patch import merge
-from ..dialplan.schemas import PlanFault, check_plan
+from ..routing.patch import merge
+from ..routing.schemas import PlanFault, check_plan
 
 DONE, INVALID, NOT_HIGHER, OTHER_VERSION, NO_PLAN, UNSURE = 1000, 2002, 2005, 2011, 3001, 3004
 KEEP_TAKEN = 1024  # changes whose mark is kept
--- a/lines/control/feed.py
+++ b/archhatch/control/feed.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from ..frame import encode_kept
+from ..runtime import encode_kept
 from ..rpc import Refusal
 from .history import RegisterHistory
 from .registers import news_view
--- a/lines/control/handlers.py
+++ b/archhatch/control/handlers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..directory import part_of
+from ..membership import part_of
 from ..rpc import Handlers, Refusal
 from .registers import OTHERS
 
--- a/lines/control/history.py
+++ b/archhatch/control/history.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-from ..directory.delta import diff
-from ..frame import encode_kept
+from ..membership.delta import diff
+from ..runtime import encode_kept
 
 KEEP_CHANGES = 64  # changes of a register that are kept,
 KEEP_SHARE = 0.5  # ... as long as they are together no longer than this share of the whole
--- a/lines/control/node.py
+++ b/archhatch/control/node.py
@@ -5,23 +5,23 @@
 import asyncio
 import random
 
-from ..areacodes.duty import RegionDuty
-from ..batches import Quorum
-from ..counter import Window
-from ..directory import LiveBook, Neighbours, Roll
-from ..directory.agreed_time import AgreedTime
-from ..evacuation.duty import EvacuationDuty
-from ..frame import Board, Clock, Counters, Crew
+from ..region_policy.region_monitor import RegionDuty
+from ..jobs import Quorum
+from ..http_server import Window
+from ..membership import LiveBook, Neighbours, Roll
+from ..membership.agreed_time import AgreedTime
+from ..evacuation.controller import EvacuationDuty
+from ..runtime import Board, Clock, Counters, Crew
 from ..rpc import CallError, Refusal, TcpNetwork
 from ..wal import WriteAheadLog
-from .administration import Administration
+from .admin_api import Administration
 from .agreement import Registers
 from .contact import MajorityContact, ServingGate
 from .feed import ConfigFeed
 from .handlers import register_handlers
 from .peers import Peers
 from .registers import PARTS, PLAN
-from .store_duty import StoreDuty
+from .store_membership import StoreDuty
 
 PING = 1 / 15  # of ContactMs: the pause between pings
 SILENT = 0.25  # of ContactMs: a node silent for so long is not counted on; proofs of contact are no older
--- a/lines/control/registers.py
+++ b/archhatch/control/registers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..areacodes import facts
+from ..region_policy import commands as facts
 from ..consensus import Commands
 from ..evacuation import commands as evacuation_commands
 from . import config_commands, leases, store_commands
--- a/lines/control/store_commands.py
+++ b/archhatch/control/store_commands.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from ..batches import Quorum, active
+from ..jobs import Quorum, active
 from ..consensus import Commands
 
 KEEP_DROPPED = 64  # ids of dropped stores that are remembered
--- a/lines/control/store_duty.py
+++ b/archhatch/control/store_membership.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..batches import active
+from ..jobs import active
 from .registers import PLAN
 
 HEARD = 0.5  # of ContactMs: a store heard this lately may join, and counts as one that stays
--- a/lines/switchboard/admission.py
+++ b/archhatch/data_plane/admission.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from ..frame import Result, fault_result
-from ..sends.heads import KEY
+from ..runtime import Result, fault_result
+from ..upstream.headers import KEY
 
 UNKNOWN_KEY, UNCONFIRMED = 2019, 3011
 DRIFT = 0.05  # of RevokeMs: what clocks may differ over it
--- a/lines/switchboard/edge.py
+++ b/archhatch/data_plane/edge.py
@@ -7,20 +7,20 @@
 
 from transitions import Machine
 
-from ..counter import Window
-from ..dialplan import Plan
-from ..directory import Newsreader
-from ..frame import Board, Clock, Counters, Crew, Result, fault_result
-from ..sends import Caller, Picker
+from ..http_server import Window
+from ..routing import Plan
+from ..membership import Newsreader
+from ..runtime import Board, Clock, Counters, Crew, Result, fault_result
+from ..upstream import Caller, Picker
 from ..rpc import CallError, ConnectionPool
-from ..sends.heads import with_tenant
+from ..upstream.headers import with_tenant
 from ..usage.counter import NAMESPACE as USAGE_DUTY
 from ..usage.counter import UsageTeller
 from .admission import Admission, Admitted
 from .forward import Forward
-from .live import Live
-from .lotdesk import LotDesk
-from .proxies import StoreProxies
+from .live_requests import Live
+from .job_handlers import LotDesk
+from .store_proxies import StoreProxies
 from .relay import Relay
 
 MOVES = [
--- a/lines/switchboard/forward.py
+++ b/archhatch/data_plane/forward.py
@@ -5,9 +5,9 @@
 import asyncio
 from dataclasses import dataclass
 
-from ..frame import Result, fault_result
-from ..frame.numbers import read_decimal
-from ..sends import AGAIN, DEADLINE, ECHO, ONCE, PROMISES, Ran, pass_on
+from ..runtime import Result, fault_result
+from ..runtime.numbers import read_decimal
+from ..upstream import AGAIN, DEADLINE, ECHO, ONCE, PROMISES, Ran, pass_on
 
 EARLY = 0.5  # of the aim: a repeatable request that is still out then goes to a second replica too (hedging)
 SHORT = 0.9  # of the deadline: what a send may use, so that an answer gets back in time
--- a/lines/switchboard/lotdesk.py
+++ b/archhatch/data_plane/job_handlers.py
@@ -5,11 +5,11 @@
 import asyncio
 from urllib.parse import parse_qs, urlsplit
 
-from ..frame import Result, fault_result
-from ..frame.numbers import read_count, read_decimal
-from ..sends import ECHO
-from ..sends.heads import HOLD
-from ..batches import BadLot, Quorum, check_lot
+from ..runtime import Result, fault_result
+from ..runtime.numbers import read_count, read_decimal
+from ..upstream import ECHO
+from ..upstream.headers import HOLD
+from ..jobs import BadLot, Quorum, check_lot
 from ..rpc import CallError
 
 NOT_TAKEN = {2008, 3001, 3005, 3008}  # refusals after which this very call has put nothing anywhere
--- a/lines/switchboard/relay.py
+++ b/archhatch/data_plane/relay.py
@@ -8,9 +8,9 @@
 import aiohttp
 from aiohttp.web_response import StreamResponse
 
-from ..frame import Result, fault_result
-from ..frame.numbers import read_decimal
-from ..sends import (
+from ..runtime import Result, fault_result
+from ..runtime.numbers import read_decimal
+from ..upstream import (
     AGAIN,
     DEADLINE,
     ECHO,
@@ -26,8 +26,8 @@
     pass_on,
     says_not_run,
 )
-from ..sends.events import EventReader, follows
-from ..sends.heads import LAST_ID
+from ..upstream.event_stream import EventReader, follows
+from ..upstream.headers import LAST_ID
 
 
 class BadAnswer(ValueError):
--- a/lines/switchboard/proxies.py
+++ b/archhatch/data_plane/store_proxies.py
@@ -9,10 +9,10 @@
 
 from dataclasses import dataclass
 
-from ..batches import active
-from ..directory import rank
+from ..jobs import active
+from ..membership import rank
 from ..rpc import CallError
-from ..sends import Answer, Ran
+from ..upstream import Answer, Ran
 
 RARE = 12.0  # requests of a service within HALF_S, about, from which this node keeps connections of its own
 HALF_S = 4.0  # after so long a request counts half
--- a/lines/testdesk/doctor.py
+++ b/archhatch/diagnostics/doctor.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from ..frame import CODES, BootFault, Counters, read_boot
+from ..runtime import CODES, BootFault, Counters, read_boot
 from ..wal import generation_number, read_records
 from ..rpc import CallError, ConnectionPool
 
--- a/lines/testdesk/importer.py
+++ b/archhatch/diagnostics/importer.py
@@ -6,7 +6,7 @@
 
 import crossplane
 
-from ..dialplan.schemas import PlanFault, check_plan
+from ..routing.schemas import PlanFault, check_plan
 
 UNITS = {"ms": 1, "": 1000, "s": 1000, "m": 60_000, "h": 3_600_000}
 SIZES = {"": 1, "k": 1 << 10, "m": 1 << 20, "g": 1 << 30}
--- a/lines/evacuation/client.py
+++ b/archhatch/evacuation/client.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from ..areacodes.desk import ControlPlane, DeskFault
-from ..frame import BootFault, read_boot
+from ..region_policy.client import ControlPlane, DeskFault
+from ..runtime import BootFault, read_boot
 from .plans import BadPlan, read_plan
 
 USE = """archhatch: evacuate: say one of
--- a/lines/evacuation/duty.py
+++ b/archhatch/evacuation/controller.py
@@ -9,13 +9,13 @@
 
 import asyncio
 
-from ..areacodes import Placement
-from ..batches import active
+from ..region_policy import Placement
+from ..jobs import active
 from ..control.store_commands import begun
-from ..dialplan import Plan
+from ..routing import Plan
 from .commands import ACKNOWLEDGED, DUTY, FAILED, NO_KEY, TERM_OVER
 from .record import FINAL, Place, State
-from .room import Needs, lacks, unloaded
+from .target_capacity import Needs, lacks, unloaded
 
 PATIENCE = 1.0  # of ContactMs: room that is lacking for so long is taken to be lacking for good
 AGE_STEP_S = 10.0  # of a record's age that a change of holders may lose
--- a/lines/counter/window.py
+++ b/archhatch/http_server/server.py
@@ -15,7 +15,7 @@
 from aiohttp.web_response import Response, StreamResponse
 from aiohttp.web_server import Server
 
-from ..frame import Result, fault_result
+from ..runtime import Result, fault_result
 
 
 SLOW = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
--- a/lines/batches/__init__.py
+++ b/archhatch/jobs/__init__.py
@@ -1,6 +1,6 @@
 """Lots and their results, as stores keep them."""
 
-from .lot import BadLot, Item, Lot, check_lot, read_lot
+from .batch_job import BadLot, Item, Lot, check_lot, read_lot
 from .record import Record, pack, unpack
 from .record_store import RecordStore
 from .quorum import Quorum, active
--- a/lines/batches/replicator.py
+++ b/archhatch/jobs/replicator.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from ..directory import rank
+from ..membership import rank
 from ..rpc import CallError
 from ..wal import LogError
 from .quorum import Quorum, active
--- a/lines/directory/newsreader.py
+++ b/archhatch/membership/config_watcher.py
@@ -8,7 +8,7 @@
 
 from ..rpc import CallError, is_misdirected
 from .delta import apply_all
-from .sources import Sources, Verdict
+from .config_sources import Sources, Verdict
 
 NO_MAJORITY, NO_CONFIGURATION, DONE = 3003, 3001, 1000
 TIMES_KEPT = 4  # answers whose time of day is compared
--- a/lines/directory/neighbours.py
+++ b/archhatch/membership/peer_set.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .roll import later
+from .replica_registry import later
 
 
 class Neighbours:
--- a/lines/cloud/client.py
+++ b/archhatch/platform_client/client.py
@@ -9,10 +9,10 @@
 import aiohttp
 import orjson
 
-from ..ledger.effect import EffectFailed
-from ..ledger.lease import DutyCallFailed, StandingLease
-from ..ledger.machine import STALE_FENCE
-from ..sends import NotSent
+from ..singleton_roles.effect import EffectFailed
+from ..singleton_roles.lease import DutyCallFailed, StandingLease
+from ..singleton_roles.state_machine import STALE_FENCE
+from ..upstream import NotSent
 
 HOLDER, FENCE = "X-Archhatch-Duty-Owner", "X-Archhatch-Fence-Token"
 CALL_S = 2.0  # how long the platform may take to answer
--- a/lines/areacodes/desk.py
+++ b/archhatch/region_policy/client.py
@@ -9,12 +9,12 @@
 import aiohttp
 import orjson
 
-from ..dialplan import Plan
-from ..dialplan.schemas import PlanFault, check_plan
-from ..frame import Boot, BootFault, read_boot
+from ..routing import Plan
+from ..routing.schemas import PlanFault, check_plan
+from ..runtime import Boot, BootFault, read_boot
 from .explain import explain
-from .facts import policy_view
-from .faults import PolicyFault
+from .commands import policy_view
+from .errors import PolicyFault
 from .reader import read_policy
 
 USE = """archhatch: policy: say one of
--- a/lines/areacodes/facts.py
+++ b/archhatch/region_policy/commands.py
@@ -5,7 +5,7 @@
 import hashlib
 
 from ..consensus import Commands
-from .faults import PolicyFault
+from .errors import PolicyFault
 from .placement import ALL
 from .reader import read_policy
 
--- a/lines/areacodes/reader.py
+++ b/archhatch/region_policy/reader.py
@@ -7,8 +7,8 @@
 
 from marshmallow import Schema, ValidationError, fields, validate
 
-from ..dialplan.schemas import CLASSES
-from .faults import PolicyFault, locate, spell
+from ..routing.schemas import CLASSES
+from .errors import PolicyFault, locate, spell
 from .patterns import meet, plain
 from .policy import ALL, CLASS, NAME, PATTERN, PLACE
 
--- a/lines/areacodes/duty.py
+++ b/archhatch/region_policy/region_monitor.py
@@ -5,7 +5,7 @@
 import asyncio
 import random
 
-from ..dialplan import Plan
+from ..routing import Plan
 from .placement import Placement
 from .watch import RegionWatch
 
--- a/lines/supervisor/engines.py
+++ b/archhatch/rollout_controller/engines.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from ..directory import Fitness, Peers
+from ..health import Fitness, Peers
 
 
 @dataclass
--- a/lines/supervisor/reign.py
+++ b/archhatch/rollout_controller/leadership_term.py
@@ -8,12 +8,12 @@
 
 from transitions import Machine
 
-from ..batches import Deposed, Lot, Record, read_lot
-from ..batches.record import unpack_many
-from ..frame import encode_kept
+from ..jobs import Deposed, Lot, Record, read_lot
+from ..jobs.record import unpack_many
+from ..runtime import encode_kept
 from ..rpc import CallError
 from ..store.heartbeat import Leading
-from .mending import Mending, place
+from .repair import Mending, place
 from .takeover import ORDER, Takeover
 
 MOVES = [
--- a/lines/supervisor/mending.py
+++ b/archhatch/rollout_controller/repair.py
@@ -5,7 +5,7 @@
 
 import asyncio
 
-from ..batches import Lot, Record, active
+from ..jobs import Lot, Record, active
 
 BURST = 1 << 18  # bytes of repair under way at a time: new records wait behind them
 
--- a/lines/supervisor/scoring.py
+++ b/archhatch/rollout_controller/scoring.py
@@ -7,8 +7,8 @@
 import heapq
 import itertools
 
-from ..sends import AGAIN, ECHO, SEAL, Ran
-from .lull import Lull
+from ..upstream import AGAIN, ECHO, SEAL, Ran
+from .load_limit import Lull
 
 
 LOOK = 64  # waiting calls that are looked at for one place
--- a/lines/supervisor/takeover.py
+++ b/archhatch/rollout_controller/takeover.py
@@ -6,7 +6,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from ..batches import Deposed, Lot, Record, read_lot
+from ..jobs import Deposed, Lot, Record, read_lot
 
 ABREAST = 8  # lots that are adopted side by side
 ORDER = 1 / 6  # of LeaseMs: how long after its note an order may be sent
--- a/lines/supervisor/orders.py
+++ b/archhatch/rollout_controller/weight_orders.py
@@ -10,9 +10,9 @@
 import aiohttp
 import orjson
 
-from ..batches import Deposed
-from ..sends import ECHO, SEAL, NotSent, says_not_run
-from .room import LoadRoom
+from ..jobs import Deposed
+from ..upstream import ECHO, SEAL, NotSent, says_not_run
+from .load_concurrency import LoadRoom
 
 TURNED_AWAY = frozenset({400, 412, 421})  # answers which say that an order was not taken
 LAG_GAPS = 2  # a report may be so old
--- a/lines/cordboard/__init__.py
+++ b/archhatch/share_group/__init__.py
@@ -1,8 +1,8 @@
 """Share groups (KIP-932) on the step log: the leader's window, the workers that draw from it, their state on disk."""
 
-from .journal import WindowJournal
+from .window_journal import WindowJournal
 from .leader import Leader
-from .queue import LotQueue
+from .job_queue import LotQueue
 from .window import BadMove, Entry, State, Window
 from .worker import Worker
 
--- a/lines/cordboard/settlement.py
+++ b/archhatch/share_group/acknowledgements.py
@@ -6,9 +6,9 @@
 
 import orjson
 
-from ..batches import Deposed
+from ..jobs import Deposed
 from ..rpc import Refusal
-from .led_run import LedRun
+from .led_partitions import LedRun
 from .window import BadMove, Entry, State, Window
 
 
--- a/lines/cordboard/item_stream.py
+++ b/archhatch/share_group/item_stream.py
@@ -7,10 +7,10 @@
 
 import aiohttp
 
-from ..sends import AGAIN, ECHO, EXPECT_REV, SEAL, VERSIONS, NotSent, belongs, has_end, says_not_run
-from ..sends.events import EventReader, follows
-from ..sends.heads import LAST_ID, URGENCY, with_tenant
-from .job import Job
+from ..upstream import AGAIN, ECHO, EXPECT_REV, SEAL, VERSIONS, NotSent, belongs, has_end, says_not_run
+from ..upstream.event_stream import EventReader, follows
+from ..upstream.headers import LAST_ID, URGENCY, with_tenant
+from .acquired_entry import Job
 
 QUIET, FIRST = 3, 2  # gaps: between two events at most, and beside that until the first one
 BESIDE_LIVE = "9"  # the urgency of items at replicas that live requests use too
--- a/lines/cordboard/leader.py
+++ b/archhatch/share_group/leader.py
@@ -7,14 +7,14 @@
 
 import orjson
 
-from ..batches import Deposed
+from ..jobs import Deposed
 from ..rpc import Refusal
-from .journal import WindowJournal
-from .led_run import LedRun, Seat
-from .places import Places, lane_of
-from .queue import LotQueue
+from .window_journal import WindowJournal
+from .led_partitions import LedRun, Seat
+from .replica_slots import Places, lane_of
+from .job_queue import LotQueue
 from .recalls import Recalls
-from .settlement import Settlements
+from .acknowledgements import Settlements
 from .window import Entry, State, Window
 
 
--- a/lines/cordboard/led_run.py
+++ b/archhatch/share_group/led_partitions.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass, field
 
-from .forecast import RunTimes
-from .journal import WindowJournal
-from .queue import LotQueue
+from .run_times import RunTimes
+from .window_journal import WindowJournal
+from .job_queue import LotQueue
 from .window import Entry, Window
 
 RECALL = "recall"  # the worker is to give an entry back whose stream still takes a place; all else it just drops
--- a/lines/cordboard/recalls.py
+++ b/archhatch/share_group/recalls.py
@@ -3,9 +3,9 @@
 
 from __future__ import annotations
 
-from .led_run import RECALL
-from .places import lane_of
-from .queue import LotQueue
+from .led_partitions import RECALL
+from .replica_slots import lane_of
+from .job_queue import LotQueue
 from .window import Entry
 
 
--- a/lines/cordboard/places.py
+++ b/archhatch/share_group/replica_slots.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from ..directory import rank
-from ..supervisor.lull import Lull
-from .led_run import LedRun
+from ..membership import rank
+from ..rollout_controller.load_limit import Lull
+from .led_partitions import LedRun
 
 DOUBTFUL = 3  # a replica in doubt has one place in so many
 DONE_BY = 0.8  # of the time until a lot is due: by then its demand has all done
--- a/lines/cordboard/journal.py
+++ b/archhatch/share_group/window_journal.py
@@ -4,8 +4,8 @@
 
 import orjson
 
-from ..batches import Record
-from ..frame import encode_kept
+from ..jobs import Record
+from ..runtime import encode_kept
 from .window import State, Window
 
 EVERY = 32  # deltas after which a new snapshot is written
--- a/lines/cordboard/worker.py
+++ b/archhatch/share_group/worker.py
@@ -7,11 +7,11 @@
 
 import orjson
 
-from ..supervisor.lull import Lull
-from ..supervisor.scoring import Scoring
+from ..rollout_controller.load_limit import Lull
+from ..rollout_controller.scoring import Scoring
 from ..rpc import CallError, Refusal
 from .item_stream import ItemStream
-from .job import Job
+from .acquired_entry import Job
 
 
 class Desk:
--- a/lines/simulation/command.py
+++ b/archhatch/simulation/command.py
@@ -1,4 +1,4 @@
-"""`archhatch.py simulate`: many seeds on several processors, the first broken one shrunk and told."""
+"""`archhatch simulate`: many seeds on several processors, the first broken one shrunk and told."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, replace
 
-from .plants import PLANTS, planted
+from .planted_faults import PLANTS, planted
 from .repair import table
 from .runner import TOLERANCE, Model, Report, Settings, play, shrink
 from .trace import summary, tell
--- a/lines/simulation/control_node.py
+++ b/archhatch/simulation/control_node.py
@@ -7,9 +7,9 @@
 
 from ..control.node import ControlNode
 from ..control.registers import PLAN
-from ..directory import Newsreader
-from ..frame import Board, Counters
-from ..frame.boot import check_boot
+from ..membership import Newsreader
+from ..runtime import Board, Counters
+from ..runtime.settings import check_boot
 from ..rpc import Handlers
 from .deployment import Deployment
 from .history import Seen
--- a/lines/simulation/disk.py
+++ b/archhatch/simulation/disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk with the file calls of a write-ahead log (lines/wal/files.py).
+"""A simulated disk with the file calls of a write-ahead log (archhatch/wal/files.py).
 
 A call made in an executor takes effect at its own moment: calls whose moment had not come when the process died never
 happened. What was written but not synced outlives the process; of what was not synced a loss of power keeps, loses or
--- a/lines/simulation/network.py
+++ b/archhatch/simulation/network.py
@@ -1,4 +1,4 @@
-"""A simulated network between nodes, with the calls of lines/rpc.
+"""A simulated network between nodes, with the calls of archhatch/rpc.
 
 Documents pass through orjson both ways, as on the wire. A call may be delayed, lost, run twice, overtaken, or lose its
 answer to a reset after its handler ran; a cut holds what is sent in its direction, and loses it or delivers it late.
@@ -212,7 +212,7 @@
         return await self._handlers.table[verb](doc, b"")
 
     async def run(self, verb: str, head: bytes, body: bytes, to: str, reply) -> None:
-        """Run a handler, and answer as lines/rpc/server.py does."""
+        """Run a handler, and answer as archhatch/rpc/server.py does."""
         try:
             handler = self._handlers.table.get(verb)
             if handler is None:
--- a/lines/simulation/plants.py
+++ b/archhatch/simulation/planted_faults.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from ..consensus import acceptor, ballot, group, proposer
+from ..consensus import acceptor, proposal_number as ballot, group, proposer
 from ..control import registers
 from ..control.node import ControlNode
 from ..wal import WriteAheadLog
--- a/lines/simulation/register_node.py
+++ b/archhatch/simulation/register_node.py
@@ -13,7 +13,7 @@
 
 from ..consensus import Acceptor, Proposer, Unclear
 from ..control.registers import commands
-from ..frame import CODES, Counters
+from ..runtime import CODES, Counters
 from ..rpc import CallError, Handlers, Refusal
 from ..wal import LogError, WriteAheadLog
 from .loop import VirtualClock
--- a/lines/ledger/desk.py
+++ b/archhatch/singleton_roles/admin.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..frame import fault_result, json_result
+from ..runtime import fault_result, json_result
 from .commands import split_key
 
 DONE, UNREACHED, UNKNOWN = 1000, 3003, 2304
--- a/lines/ledger/client.py
+++ b/archhatch/singleton_roles/client.py
@@ -6,8 +6,8 @@
 import sys
 from urllib.parse import quote
 
-from ..areacodes.desk import ControlPlane, DeskFault
-from ..frame import BootFault, read_boot
+from ..region_policy.client import ControlPlane, DeskFault
+from ..runtime import BootFault, read_boot
 
 USE = """archhatch: duties: say one of
   duties list          each duty's state, fence and holder
--- a/lines/ledger/commands.py
+++ b/archhatch/singleton_roles/commands.py
@@ -11,8 +11,8 @@
 import orjson
 
 from ..consensus import Commands
-from . import machine
-from .machine import DutyRefused
+from . import state_machine as machine
+from .state_machine import DutyRefused
 from .record import DutyRecord, DutyState, Holder
 
 DONE = 1000
--- a/lines/ledger/group.py
+++ b/archhatch/singleton_roles/group.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from ..batches import active
-from ..consensus.regroup import GroupSize, Patience, Sight, wanted_group
-from ..directory import rank
+from ..jobs import active
+from ..consensus.reconfiguration import GroupSize, Patience, Sight, wanted_group
+from ..membership import rank
 
 REPLACE, SHRINK = 0.5, 2.0  # of ContactMs: a voter silent for so long is replaced, or left out
 GONE_S = 1e9  # silence of a store that is no member any more
--- a/lines/ledger/lease.py
+++ b/archhatch/singleton_roles/lease.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from ..rpc import CallError
-from .machine import SHORTEST_LEASE_S
+from .state_machine import SHORTEST_LEASE_S
 from .record import DutyState, PriorState
 
 DONE = 1000
--- a/lines/ledger/host.py
+++ b/archhatch/singleton_roles/register_host.py
@@ -13,7 +13,7 @@
 import orjson
 
 from ..consensus import Acceptor, Proposer, Unclear, members
-from ..directory import rank
+from ..membership import rank
 from ..rpc import CallError, Refusal
 from ..wal import LogError, WriteAheadLog
 from .commands import commands, split_key
--- a/lines/store/departure.py
+++ b/archhatch/store/departure.py
@@ -8,8 +8,8 @@
 
 import asyncio
 
-from ..batches import active
-from ..supervisor.reign import ORDER
+from ..jobs import active
+from ..rollout_controller.leadership_term import ORDER
 
 MEMBERSHIP = "the membership"  # stands for all runs in what is logged
 ASK = 0.25  # of ContactMs: how long one control node may take to answer
--- a/lines/store/evacuation.py
+++ b/archhatch/store/evacuation.py
@@ -3,9 +3,9 @@
 
 from __future__ import annotations
 
-from ..batches import Lot, active
+from ..jobs import Lot, active
 from ..evacuation.record import Move, Place, State
-from ..supervisor.mending import BURST
+from ..rollout_controller.repair import BURST
 
 ROLLOUTS = ("rollout", "batch")
 
--- a/lines/store/handlers.py
+++ b/archhatch/store/handlers.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from ..batches import Deposed
-from ..batches.record import pack_many, unpack_many
+from ..jobs import Deposed
+from ..jobs.record import pack_many, unpack_many
 from ..rpc import Handlers, Refusal
-from ..supervisor import Reign
+from ..rollout_controller import Reign
 from ..wal import LogError
 
 
--- a/lines/store/join.py
+++ b/archhatch/store/join.py
@@ -5,7 +5,7 @@
 import asyncio
 import random
 
-from ..dialplan import Plan
+from ..routing import Plan
 from ..wal import LogError
 
 LEASE_REGISTERS = ("p0", "p1", "p2")  # the registers that hold the runs' leases
--- a/lines/store/lease_watch.py
+++ b/archhatch/store/lease_watch.py
@@ -1,4 +1,4 @@
-"""Watches the runs' leases: begins, renews, hands on and claims them as lines/store/lease.py decides."""
+"""Watches the runs' leases: begins, renews, hands on and claims them as archhatch/store/lease.py decides."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 import random
 from dataclasses import replace
 
-from ..directory import rank
-from ..supervisor import Reign
+from ..membership import rank
+from ..rollout_controller import Reign
 from .lease import OthersLease, OwnLease, Phase, Step, others_step, own_step
 
 IDLE = 1.0  # of ContactMs: a holder that made no progress for so long leads nothing
--- a/lines/store/membership.py
+++ b/archhatch/store/membership.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from ..batches import active
-from ..directory import Neighbours
+from ..jobs import active
+from ..membership import Neighbours
 from ..rpc import CallError
 from .heartbeat import HeartbeatWord
 
--- a/lines/store/node.py
+++ b/archhatch/store/node.py
@@ -8,18 +8,18 @@
 
 import random
 
-from ..autoscale.controller import CapacityController
-from ..batches import Quorum, RecordStore, Replicator
-from ..cloud import PlatformClient
-from ..cordboard import Leader, Worker
-from ..dialplan import Plan
-from ..directory import Newsreader
-from ..frame import Board, Clock, Counters, Crew
-from ..ledger.host import LedgerHost
+from ..autoscaler.controller import CapacityController
+from ..jobs import Quorum, RecordStore, Replicator
+from ..platform_client import PlatformClient
+from ..share_group import Leader, Worker
+from ..routing import Plan
+from ..membership import Newsreader
+from ..runtime import Board, Clock, Counters, Crew
+from ..singleton_roles.register_host import LedgerHost
 from ..rpc import CallError, ConnectionPool, Handlers, Refusal, Server
-from ..sends import Caller, Picker
-from ..supervisor import Engines, Orders, Reign
-from ..supervisor.reign import fetch_over
+from ..upstream import Caller, Picker
+from ..rollout_controller import Engines, Orders, Reign
+from ..rollout_controller.leadership_term import fetch_over
 from ..usage.reporter import UsageReporter
 from ..wal import WriteAheadLog
 from .departure import Departure
--- a/lines/store/proxy.py
+++ b/archhatch/store/proxy.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..rpc import Refusal
-from ..sends import AGAIN
+from ..upstream import AGAIN
 
 NO_LANE, NOT_SURE, LEAVING, NOTHING_FREE = 2006, 3004, 3005, 3002
 
--- a/lines/store/repair.py
+++ b/archhatch/store/repair.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from ..batches import Record, pack
+from ..jobs import Record, pack
 from ..wal import LogError
 
 PACE = 3  # heartbeats between rounds while the stores do not change and no copy is lacking
--- a/lines/sends/__init__.py
+++ b/archhatch/upstream/__init__.py
@@ -1,9 +1,9 @@
 """Sends: one request to one replica, and what its answer proves."""
 
-from .caller import Answer, Caller, Ran, StaleConnection, belongs, has_end, says_not_run
-from .heads import DEADLINE, ECHO, EXPECT_ID, EXPECT_REV, LOAD, NOT_RUN, PROMISES, SEAL, VERSIONS, pass_on
-from .kept import AGAIN, ONCE, NotSent
-from .picker import Picker, Trunkline
+from .client import Answer, Caller, Ran, StaleConnection, belongs, has_end, says_not_run
+from .headers import DEADLINE, ECHO, EXPECT_ID, EXPECT_REV, LOAD, NOT_RUN, PROMISES, SEAL, VERSIONS, pass_on
+from .connection_pool import AGAIN, ONCE, NotSent
+from .load_balancer import Picker, Trunkline
 
 __all__ = [
     "AGAIN",
--- a/lines/sends/caller.py
+++ b/archhatch/upstream/client.py
@@ -14,8 +14,8 @@
 from multidict import CIMultiDict
 from yarl import URL
 
-from .heads import DEADLINE, ECHO, EXPECT_ID, NOT_RUN, SEAL, pass_on
-from .kept import AGAIN, ONCE, USE, KeptConnector, NotSent, Use
+from .headers import DEADLINE, ECHO, EXPECT_ID, NOT_RUN, SEAL, pass_on
+from .connection_pool import AGAIN, ONCE, USE, KeptConnector, NotSent, Use
 
 _QUIET = frozenset({"Accept", "Accept-Encoding", "User-Agent", "Content-Type"})
 
--- a/lines/sends/picker.py
+++ b/archhatch/upstream/load_balancer.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass, field
 
-from ..areacodes import Placement
-from ..directory import Fitness, Peers
-from .caller import Answer, Ran
-from .heads import LOAD
+from ..region_policy import Placement
+from ..health import Fitness, Peers
+from .client import Answer, Ran
+from .headers import LOAD
 from .subset import Subset
 
 ZONE = 0.08  # costs, as shares of a replica's places: a send to another zone
--- a/lines/usage/counter.py
+++ b/archhatch/usage/counter.py
@@ -9,7 +9,7 @@
 import asyncio
 import random
 
-from ..directory import rank
+from ..membership import rank
 from ..rpc import CallError
 
 NAMESPACE = "accounting"
--- a/lines/usage/reporter.py
+++ b/archhatch/usage/reporter.py
@@ -8,11 +8,11 @@
 
 import asyncio
 
-from ..cloud import PlatformClient
-from ..ledger.commands import split_key
-from ..ledger.effect import EffectFailed, protect
-from ..ledger.lease import DutyCallFailed, StandingLease
-from ..ledger.record import DutyState
+from ..platform_client import PlatformClient
+from ..singleton_roles.commands import split_key
+from ..singleton_roles.effect import EffectFailed, protect
+from ..singleton_roles.lease import DutyCallFailed, StandingLease
+from ..singleton_roles.record import DutyState
 from .collector import UsageCollector
 from .counter import NAMESPACE
 
--- a/lines/wal/log.py
+++ b/archhatch/wal/log.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from ..frame import Clock, Counters
+from ..runtime import Clock, Counters
 from .errors import LogBrokenError, LogClosedError, LogError
 from .files import OsFiles
 from .generations import Generations
--- a/tests/demo_evacuation.py
+++ b/tests/demo_evacuation.py
@@ -1,7 +1,7 @@
 """A planned move to look at, on this machine: python3 tests/demo_evacuation.py. Not a test.
 
 Starts a whole system over loopback (three control nodes, four stores and two edges in two regions, emulated replicas),
-puts load on it, moves a tenant and brings it home, and prints what `archhatch.py evacuate status` would.
+puts load on it, moves a tenant and brings it home, and prints what `archhatch evacuate status` would.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from evacuation_rig import KEY, EvacuationDay, seen_of  # noqa: E402
 from test_regions import ZONES  # noqa: E402
 
-from lines.evacuation.client import describe  # noqa: E402
+from archhatch.evacuation.client import describe  # noqa: E402
 
 
 async def follow(day, *last) -> None:
--- a/tests/evacuation_rig.py
+++ b/tests/evacuation_rig.py
@@ -13,9 +13,9 @@
 from standins import LOG, plan
 from test_regions import ZONES, Day
 
-from lines.evacuation.notices import ID, SIGNATURE, sign
-from lines.rpc import CallError
-from lines.store.node import StoreNode
+from archhatch.evacuation.notices import ID, SIGNATURE, sign
+from archhatch.rpc import CallError
+from archhatch.store.node import StoreNode
 
 KEY = b"0123456789abcdef"
 POLICY = """version = 1
--- a/tests/microbench.py
+++ b/tests/microbench.py
@@ -14,13 +14,13 @@
 
 import orjson  # noqa: E402
 
-from lines.directory import Roll  # noqa: E402
-from lines.control.node import ControlNode  # noqa: E402
-from lines.control.peers import Told  # noqa: E402
-from lines.frame import open_logs  # noqa: E402
-from lines.frame.boot import check_boot  # noqa: E402
-from lines.sends import Picker  # noqa: E402
-from lines.supervisor import Engines  # noqa: E402
+from archhatch.membership import Roll  # noqa: E402
+from archhatch.control.node import ControlNode  # noqa: E402
+from archhatch.control.peers import Told  # noqa: E402
+from archhatch.runtime import open_logs  # noqa: E402
+from archhatch.runtime.settings import check_boot  # noqa: E402
+from archhatch.upstream import Picker  # noqa: E402
+from archhatch.rollout_controller import Engines  # noqa: E402
 
 SIZES = (100, 1000, 10000)
 ZONES = [f"z{n}" for n in range(5)]
--- a/tests/rewrite_memory.py
+++ b/tests/rewrite_memory.py
@@ -11,9 +11,9 @@
 
 import orjson  # noqa: E402
 
-from lines.batches import Record, RecordStore, read_lot  # noqa: E402
-from lines.frame import Clock, Counters  # noqa: E402
-from lines.wal import WriteAheadLog  # noqa: E402
+from archhatch.jobs import Record, RecordStore, read_lot  # noqa: E402
+from archhatch.runtime import Clock, Counters  # noqa: E402
+from archhatch.wal import WriteAheadLog  # noqa: E402
 
 LOTS, ITEMS, RESULT_BYTES = 30, 200, 4096
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -9,11 +9,11 @@
 import orjson
 from aiohttp import web
 
-from lines.control.node import ControlNode
-from lines.store.node import StoreNode
-from lines.frame import open_logs
-from lines.frame.boot import check_boot
-from lines.switchboard.edge import Edge
+from archhatch.control.node import ControlNode
+from archhatch.store.node import StoreNode
+from archhatch.runtime import open_logs
+from archhatch.runtime.settings import check_boot
+from archhatch.data_plane.edge import Edge
 
 LOG = open_logs("test", "CRITICAL")
 NETS = itertools.count(1)
--- a/tests/test_areacodes.py
+++ b/tests/test_areacodes.py
@@ -8,14 +8,14 @@
 import pytest
 from conftest import ROOT
 
-from lines.areacodes import Placement
-from lines.areacodes.explain import explain
-from lines.areacodes.faults import PolicyFault
-from lines.areacodes.patterns import fits, meet
-from lines.areacodes.reader import read_policy
-from lines.control.calls import BadCall, OnPolicy, decode
-from lines.control.registers import commands, news_view
-from lines.sends import Picker
+from archhatch.region_policy import Placement
+from archhatch.region_policy.explain import explain
+from archhatch.region_policy.errors import PolicyFault
+from archhatch.region_policy.patterns import fits, meet
+from archhatch.region_policy.reader import read_policy
+from archhatch.control.api_requests import BadCall, OnPolicy, decode
+from archhatch.control.registers import commands, news_view
+from archhatch.upstream import Picker
 
 ZONES = {"z1": "attica", "z2": "thessaly", "z3": "crete"}
 GOOD = """version = 1
@@ -538,7 +538,7 @@
     """A new sender that forgets the lane would pass the policy by."""
     calls = [
         (path.name, node)
-        for path in pathlib.Path(ROOT, "lines").rglob("*.py")
+        for path in pathlib.Path(ROOT, "archhatch").rglob("*.py")
         for node in ast.walk(ast.parse(path.read_text()))
         if isinstance(node, ast.Call)
         and isinstance(node.func, ast.Attribute)
--- a/tests/test_ballots.py
+++ b/tests/test_ballots.py
@@ -6,8 +6,8 @@
 import pytest
 from conftest import MemBook
 
-from lines.consensus import Acceptor, Ballot, Commands, Proposer, Unclear
-from lines.frame import Counters
+from archhatch.consensus import Acceptor, Ballot, Commands, Proposer, Unclear
+from archhatch.runtime import Counters
 
 VOTERS = dict(zip("abc", "abc"))
 commands = Commands()
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -5,9 +5,9 @@
 import pytest
 from conftest import MemBook
 
-from lines.frame import Counters
-from lines.batches import BadLot, Record, RecordStore, check_lot, pack, read_lot, unpack
-from lines.batches.record import pack_many, unpack_many
+from archhatch.runtime import Counters
+from archhatch.jobs import BadLot, Record, RecordStore, check_lot, pack, read_lot, unpack
+from archhatch.jobs.record import pack_many, unpack_many
 
 B64 = base64.b64encode(b"body").decode()
 LOT = {
--- a/tests/test_boot.py
+++ b/tests/test_boot.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from lines.frame import BootFault, read_boot
-from lines.frame.boot import check_boot
+from archhatch.runtime import BootFault, read_boot
+from archhatch.runtime.settings import check_boot
 
 GOOD = {
     "NodeName": "n1",
@@ -96,7 +96,7 @@
 def test_every_code_stands_in_the_docs():
     import os
 
-    from lines.frame import CODES
+    from archhatch.runtime import CODES
 
     here = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
     with open(os.path.join(here, "docs", "codes.md")) as f:
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,7 +1,7 @@
 import orjson
 import pytest
 
-from lines.control.calls import BadCall, Beat, GetPlan, Leave, PutPlan, PutVersion, Retire, decode
+from archhatch.control.api_requests import BadCall, Beat, GetPlan, Leave, PutPlan, PutVersion, Retire, decode
 
 BEAT = {
     "Service": "s",
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -9,17 +9,17 @@
 
 import pytest
 
-from lines.cordboard import Leader
-from lines.erlang import Fit, Measure, SizeFault, Table, fit_line, read_size
-from lines.erlang import measure as measure_module
-from lines.erlang.command import SCALE, SLOPES, Capacity
-from lines.erlang.hops import WAYS, weights_cut
-from lines.erlang.meter import Meter
-from lines.erlang.needs import Missing, need
-from lines.erlang.probe import PROBES, Probe, probe
-from lines.erlang.compare import Compare
-from lines.erlang.size import SIZE, read_scale, read_slopes
-from lines.erlang.table import BEGIN, END, block, shown, verdict
+from archhatch.share_group import Leader
+from archhatch.capacity import Fit, Measure, SizeFault, Table, fit_line, read_size
+from archhatch.capacity import measure as measure_module
+from archhatch.capacity.command import SCALE, SLOPES, Capacity
+from archhatch.capacity.hops import WAYS, weights_cut
+from archhatch.capacity.meter import Meter
+from archhatch.capacity.needs import Missing, need
+from archhatch.capacity.probe import PROBES, Probe, probe
+from archhatch.capacity.compare import Compare
+from archhatch.capacity.size import SIZE, read_scale, read_slopes
+from archhatch.capacity.table import BEGIN, END, block, shown, verdict
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 RECORDED = os.path.join(ROOT, SLOPES)
@@ -33,7 +33,8 @@
 
 def cli(*args):
     return subprocess.run(
-        [sys.executable, os.path.join(ROOT, "archhatch.py"), "capacity", *args],
+        [sys.executable, "-m", "archhatch", "capacity", *args],
+        cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=60,
@@ -228,9 +229,9 @@
 @pytest.mark.parametrize(
     "args, name",
     [
-        (("directory.roll", "Roll", "bet"), "lines.directory.roll: Roll.bet"),
-        (("directory.rolls", "Roll"), "lines.directory.rolls"),
-        (("directory.roll", "Rolls"), "lines.directory.roll: Rolls"),
+        (("membership.replica_registry", "Roll", "bet"), "archhatch.membership.replica_registry: Roll.bet"),
+        (("membership.rolls", "Roll"), "archhatch.membership.rolls"),
+        (("membership.replica_registry", "Rolls"), "archhatch.membership.replica_registry: Rolls"),
     ],
 )
 def test_a_name_that_moved_is_told(args, name):
@@ -265,7 +266,7 @@
 def test_measure_tells_what_it_could_not(odd_probes):
     @probe("gone", "bytes", "nothing", "nothing", (1, 2))
     async def _gone(n):
-        yield (lambda: need("directory.roll", "Roll", "bet")), 1
+        yield (lambda: need("membership.replica_registry", "Roll", "bet")), 1
 
     @probe("changed", "bytes", "nothing", "nothing", (1, 2))
     async def _changed(n):
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -5,8 +5,8 @@
 import pytest
 from test_hedging import GOOD, OUT, Req, setup
 
-from lines.counter import Window
-from lines.frame import Counters, Result, open_logs
+from archhatch.http_server import Window
+from archhatch.runtime import Counters, Result, open_logs
 
 CASES = [  # kind, answers by turn, sends out when the client leaves, broken off
     ("idempotent", [OUT], 1, True),
--- a/tests/test_config_commands.py
+++ b/tests/test_config_commands.py
@@ -7,11 +7,11 @@
 from conftest import MemBook
 from test_dialplan import GOOD, changed
 
-from lines.consensus import Acceptor, Proposer, Unclear
-from lines.control.calls import MOST_VERSION, BadCall, decode
-from lines.control.config_commands import KEEP_REFUSED, KEEP_TAKEN
-from lines.control.registers import commands
-from lines.frame import Counters
+from archhatch.consensus import Acceptor, Proposer, Unclear
+from archhatch.control.api_requests import MOST_VERSION, BadCall, decode
+from archhatch.control.config_commands import KEEP_REFUSED, KEEP_TAKEN
+from archhatch.control.registers import commands
+from archhatch.runtime import Counters
 
 
 def put(val, number, match, timeout=7):
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -6,8 +6,8 @@
 import pytest
 from conftest import MemBook
 
-from lines.frame import Counters
-from lines.consensus import Commands, Acceptor, Proposer, Unclear, covers, majority
+from archhatch.runtime import Counters
+from archhatch.consensus import Commands, Acceptor, Proposer, Unclear, covers, majority
 
 commands = Commands()
 
--- a/tests/test_control_safety.py
+++ b/tests/test_control_safety.py
@@ -6,14 +6,14 @@
 import pytest
 from conftest import HandClock, MemBook
 
-from lines.batches import Quorum
-from lines.consensus import Acceptor
-from lines.control.agreement import Registers
-from lines.control.contact import MajorityContact, ServingGate
-from lines.consensus.regroup import GroupSize, Patience, Sight, wanted_group
-from lines.control.store_duty import StoreDuty
-from lines.directory import Neighbours
-from lines.frame import Counters
+from archhatch.jobs import Quorum
+from archhatch.consensus import Acceptor
+from archhatch.control.agreement import Registers
+from archhatch.control.contact import MajorityContact, ServingGate
+from archhatch.consensus.reconfiguration import GroupSize, Patience, Sight, wanted_group
+from archhatch.control.store_membership import StoreDuty
+from archhatch.membership import Neighbours
+from archhatch.runtime import Counters
 
 VOTERS = {"a": "a:1", "b": "b:1", "c": "c:1"}
 BOUND = 0.75
--- a/tests/test_dialplan.py
+++ b/tests/test_dialplan.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from lines.dialplan import Plan
-from lines.dialplan.patch import merge
-from lines.dialplan.schemas import PlanFault, check_plan
+from archhatch.routing import Plan
+from archhatch.routing.patch import merge
+from archhatch.routing.schemas import PlanFault, check_plan
 
 ROUTE = {
     "Name": "r1",
@@ -130,7 +130,7 @@
 @pytest.mark.parametrize("nodes, each", [(1, 300), (30, 10), (1, 40)])
 def test_shares_of_a_split_stay_near_their_weights(weights, nodes, each):
     """One node's picks lie within one pick of the weights and a little; many nodes with few picks each add up."""
-    from lines.dialplan.lanes import WeightedSequence
+    from archhatch.routing.routes import WeightedSequence
 
     split = tuple((str(n), float(weight)) for n, weight in enumerate(weights))
     sequences = [WeightedSequence(split, phase=n * 0.754877666) for n in range(nodes)]
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,7 +1,8 @@
 import pytest
 
-from lines.directory import Fitness, Neighbours, Peers, Roll, pick, rank
-from lines.directory.fitness import STATES
+from archhatch.health import Fitness, Peers
+from archhatch.membership import Neighbours, Roll, pick, rank
+from archhatch.health.outlier_detection import STATES
 
 
 def ent(state="up", seq=1, **kw):
--- a/tests/test_doctor.py
+++ b/tests/test_doctor.py
@@ -6,8 +6,8 @@
 from conftest import ROOT
 from standins import World, plan
 
-from lines.testdesk import Doctor, report
-from lines.wal import pack_record
+from archhatch.diagnostics import Doctor, report
+from archhatch.wal import pack_record
 
 
 def settings(tmp_path, **change):
@@ -90,7 +90,7 @@
     assert json.loads(report([], True)) == {"sound": True, "findings": []}
     for args, status in ((["--settings", settings(tmp_path)], 1), (["extra"], 2), (["--nope"], 2)):
         out = subprocess.run(
-            [sys.executable, f"{ROOT}/archhatch.py", "doctor", "--json", *args], capture_output=True, text=True
+            [sys.executable, "-m", "archhatch", "doctor", "--json", *args], capture_output=True, text=True, cwd=ROOT
         )
         assert out.returncode == status, out
         assert "Traceback" not in out.stderr
@@ -99,13 +99,18 @@
 
 
 def test_help_names_every_command():
-    out = subprocess.run([sys.executable, f"{ROOT}/archhatch.py", "--help"], capture_output=True, text=True)
-    assert out.returncode == 0 and all(c in out.stdout for c in ("switchboard", "exchange", "doctor", "--settings"))
+    out = subprocess.run([sys.executable, "-m", "archhatch", "--help"], capture_output=True, text=True, cwd=ROOT)
+    assert out.returncode == 0 and all(
+        c in out.stdout for c in ("data-plane", "control-plane", "store", "doctor", "--settings")
+    )
 
 
 def test_broken_settings_end_a_program_with_one_line(tmp_path):
     path = settings(tmp_path, SeedPeers=["nowhere"])
     out = subprocess.run(
-        [sys.executable, f"{ROOT}/archhatch.py", "exchange", "core", "--settings", path], capture_output=True, text=True
+        [sys.executable, "-m", "archhatch", "control-plane", "--settings", path],
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
     )
     assert out.returncode == 2 and out.stderr.count("\n") == 1 and "SeedPeers" in out.stderr
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -4,8 +4,8 @@
 from platform_standin import Platform
 from standins import World, lot, plan
 
-from lines.autoscale.controller import latest_orders
-from lines.autoscale.policy import ScaleLimits, ServiceScaler
+from archhatch.autoscaler.controller import latest_orders
+from archhatch.autoscaler.policy import ScaleLimits, ServiceScaler
 
 BOUNDS = {"ReportWindowS": 1, "UsageDelayS": 4, "LeaseMs": 1000, "ContactMs": 1500, "StrictRevoke": True}
 TENANTS = [{"Name": "t1", "ApiKeys": ["k1", "k2"]}, {"Name": "t2", "ApiKeys": ["k3"], "Priority": 1}]
--- a/tests/test_evacuation_commands.py
+++ b/tests/test_evacuation_commands.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from lines.areacodes import Placement
-from lines.areacodes.reader import read_policy
-from lines.control.registers import commands, news_view
-from lines.evacuation.commands import KEEP_FINAL
-from lines.evacuation.plans import BadPlan, mark, read_plan
-from lines.evacuation.record import FINAL, Move, Moves, Place, State
+from archhatch.region_policy import Placement
+from archhatch.region_policy.reader import read_policy
+from archhatch.control.registers import commands, news_view
+from archhatch.evacuation.commands import KEEP_FINAL
+from archhatch.evacuation.plans import BadPlan, mark, read_plan
+from archhatch.evacuation.record import FINAL, Move, Moves, Place, State
 
 POLICY = """version = 1
 [[rule]]
--- a/tests/test_feed_delta.py
+++ b/tests/test_feed_delta.py
@@ -7,11 +7,11 @@
 import pytest
 from conftest import HandClock
 
-from lines.control.feed import ConfigFeed
-from lines.control.history import KEEP_CHANGES, RegisterHistory
-from lines.directory import Newsreader
-from lines.directory.delta import apply, apply_all, diff
-from lines.frame import Board, Counters
+from archhatch.control.feed import ConfigFeed
+from archhatch.control.history import KEEP_CHANGES, RegisterHistory
+from archhatch.membership import Newsreader
+from archhatch.membership.delta import apply, apply_all, diff
+from archhatch.runtime import Board, Counters
 
 
 def rows(*names, **more):
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -5,12 +5,12 @@
 import pytest
 from conftest import HandClock
 
-from lines.cordboard import Leader
-from lines.cordboard.forecast import RunTimes
-from lines.cordboard.led_run import LedRun
-from lines.dialplan import Plan
-from lines.frame import Board
-from lines.supervisor import Engines
+from archhatch.share_group import Leader
+from archhatch.share_group.run_times import RunTimes
+from archhatch.share_group.led_partitions import LedRun
+from archhatch.routing import Plan
+from archhatch.runtime import Board
+from archhatch.rollout_controller import Engines
 
 ROW = {
     "Name": "l",
--- a/tests/test_fuzz_outside.py
+++ b/tests/test_fuzz_outside.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 from standins import lot, plan
 
-from lines.batches import BadLot, check_lot, read_lot
-from lines.control.calls import BadCall, decode
-from lines.control.config_commands import commands
-from lines.dialplan.lanes import Plan
-from lines.dialplan.schemas import PlanFault, check_plan
-from lines.frame.numbers import read_count, read_decimal
+from archhatch.jobs import BadLot, check_lot, read_lot
+from archhatch.control.api_requests import BadCall, decode
+from archhatch.control.config_commands import commands
+from archhatch.routing.routes import Plan
+from archhatch.routing.schemas import PlanFault, check_plan
+from archhatch.runtime.numbers import read_count, read_decimal
 
 SHORT = settings(max_examples=60, deadline=None, derandomize=True)
 ODD_TEXT = st.one_of(
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -5,7 +5,7 @@
 import pytest
 from test_once import EVENTS, RESET, SEAL, Bare, Front, head
 
-from lines.sends import AGAIN, Caller, Ran
+from archhatch.upstream import AGAIN, Caller, Ran
 
 THREE = {
     "X-Archhatch-Model": "m 1, ö".encode().decode("latin-1"),
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from lines.sends import Answer, Picker, Ran
-from lines.sends.heads import LOAD
+from archhatch.upstream import Answer, Picker, Ran
+from archhatch.upstream.headers import LOAD
 
 N = 6
 SERVED, FAILED, FULL = Answer(Ran.YES, 200), Answer(Ran.YES, 500), Answer(Ran.NO, 503)
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -6,11 +6,11 @@
 from conftest import HandClock
 from multidict import CIMultiDict
 
-from lines.dialplan import Plan
-from lines.frame import Board, Counters
-from lines.sends import Answer, Picker, Ran
-from lines.switchboard.forward import Forward
-from lines.switchboard.live import Live
+from archhatch.routing import Plan
+from archhatch.runtime import Board, Counters
+from archhatch.upstream import Answer, Picker, Ran
+from archhatch.data_plane.forward import Forward
+from archhatch.data_plane.live_requests import Live
 
 GOOD, FULL, CUT, FAILED = Answer(Ran.YES, 200, body=b"ok"), Answer(Ran.NO, 503), Answer(Ran.MAYBE), Answer(Ran.YES, 500)
 OUT = None  # no answer before the others' are there
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -5,8 +5,8 @@
 import pytest
 from conftest import ROOT
 
-from lines.dialplan import Plan
-from lines.testdesk.importer import Importer, ImportFault
+from archhatch.routing import Plan
+from archhatch.diagnostics.importer import Importer, ImportFault
 
 GOOD = """
 events {}
@@ -66,7 +66,10 @@
 @pytest.mark.parametrize("text, status", [(GOOD, 0), ("http {", 1)])
 def test_command(tmp_path, text, status):
     out = subprocess.run(
-        [sys.executable, f"{ROOT}/archhatch.py", "import", write(tmp_path, text)], capture_output=True, text=True
+        [sys.executable, "-m", "archhatch", "import", write(tmp_path, text)],
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
     )
     assert out.returncode == status and "Traceback" not in out.stderr
     if status:
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -5,7 +5,7 @@
 import pytest
 from conftest import HandClock
 
-from lines.sends import AGAIN, ONCE, Caller, Picker, Ran
+from archhatch.upstream import AGAIN, ONCE, Caller, Picker, Ran
 
 OK = b"HTTP/1.1 200 OK\r\nX-Archhatch-Request-Id: %s\r\nX-Archhatch-Reply-Seal: s\r\n%sContent-Length: 2\r\n\r\nok"
 
--- a/tests/test_kept_documents.py
+++ b/tests/test_kept_documents.py
@@ -6,9 +6,9 @@
 import orjson
 import pytest
 
-from lines.cordboard.journal import WindowJournal
-from lines.cordboard.window import Window
-from lines.frame import encode_kept
+from archhatch.share_group.window_journal import WindowJournal
+from archhatch.share_group.window import Window
+from archhatch.runtime import encode_kept
 
 DOCS = [{}, [], {"Text": "x" * 6000}, {"Text": 'é"\n' * 2000}, {"a": [1, 2.5, None, True], "b": {"c": "d"}}]
 
--- a/tests/test_last_result.py
+++ b/tests/test_last_result.py
@@ -6,11 +6,11 @@
 import orjson
 import pytest
 
-from lines.cordboard import Leader, State
-from lines.cordboard.leader import Seat
-from lines.dialplan import Plan
-from lines.frame import Board, Counters
-from lines.supervisor import Engines
+from archhatch.share_group import Leader, State
+from archhatch.share_group.leader import Seat
+from archhatch.routing import Plan
+from archhatch.runtime import Board, Counters
+from archhatch.rollout_controller import Engines
 
 PLAN = Plan(
     {
--- a/tests/test_late_answers.py
+++ b/tests/test_late_answers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lines.sends import Caller, Ran
+from archhatch.upstream import Caller, Ran
 
 OK = b"HTTP/1.1 200 OK\r\nX-Archhatch-Request-Id: %s\r\nX-Archhatch-Reply-Seal: s\r\nContent-Length: 2\r\n\r\n%s"
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -9,16 +9,16 @@
 from test_batches import LOT
 from test_quorum import Node, Site, settings
 
-from lines.areacodes import Placement
-from lines.store.departure import Departure
-from lines.store.handlers import may_be_taken
-from lines.store.heartbeat import HeartbeatWord, Leading
-from lines.store.lease import OthersLease, OwnLease, Phase, Step, others_step, own_step
-from lines.store.evacuation import EvacuationSupport
-from lines.store.lease_watch import LeaseWatch
-from lines.store.node import StoreNode
-from lines.store.repair import Repair
-from lines.wal import LogError
+from archhatch.region_policy import Placement
+from archhatch.store.departure import Departure
+from archhatch.store.handlers import may_be_taken
+from archhatch.store.heartbeat import HeartbeatWord, Leading
+from archhatch.store.lease import OthersLease, OwnLease, Phase, Step, others_step, own_step
+from archhatch.store.evacuation import EvacuationSupport
+from archhatch.store.lease_watch import LeaseWatch
+from archhatch.store.node import StoreNode
+from archhatch.store.repair import Repair
+from archhatch.wal import LogError
 
 LOOK_S = 0.04  # between two looks of these tests: below the stand-ins' quiet time
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from lines.ledger import client
-from lines.ledger.commands import KEEP_FINISHED, commands
-from lines.ledger.effect import EffectFailed, protect
-from lines.ledger.lease import DutyCallFailed
-from lines.ledger.record import AUDIT_KEPT
-from lines.ledger.watch import LeaseWatch
+from archhatch.singleton_roles import client
+from archhatch.singleton_roles.commands import KEEP_FINISHED, commands
+from archhatch.singleton_roles.effect import EffectFailed, protect
+from archhatch.singleton_roles.lease import DutyCallFailed
+from archhatch.singleton_roles.record import AUDIT_KEPT
+from archhatch.singleton_roles.watch import LeaseWatch
 
 LEASE, WINDOW = "accounting", "accounting/window:7"
 HELD, STALE, FAILED, UNKNOWN, BAD_LEASE, TOO_LARGE, WRONG_STATE = range(2301, 2308)
--- a/tests/test_lotdesk.py
+++ b/tests/test_lotdesk.py
@@ -10,10 +10,10 @@
 from test_batches import LOT
 from test_quorum import settings
 
-from lines.frame import Counters
-from lines.rpc import CallError
-from lines.sends import ECHO
-from lines.switchboard.lotdesk import UNCLEAR_KEPT, LotDesk
+from archhatch.runtime import Counters
+from archhatch.rpc import CallError
+from archhatch.upstream import ECHO
+from archhatch.data_plane.job_handlers import UNCLEAR_KEPT, LotDesk
 
 LEASE = {"holder": "s0", "life": "l", "term": 4}
 STORES = {"s0": {"ip": "p0", "zone": "z", "state": "active"}}
--- a/tests/test_lull.py
+++ b/tests/test_lull.py
@@ -5,10 +5,10 @@
 import pytest
 from standins import World, lot, plan
 
-from lines.directory import LiveBook
-from lines.frame import Board
-from lines.supervisor.lull import Lull
-from lines.switchboard.live import Live
+from archhatch.membership import LiveBook
+from archhatch.runtime import Board
+from archhatch.rollout_controller.load_limit import Lull
+from archhatch.data_plane.live_requests import Live
 
 
 @pytest.mark.parametrize(
--- a/tests/test_newsreader.py
+++ b/tests/test_newsreader.py
@@ -3,10 +3,10 @@
 import pytest
 from conftest import HandClock
 
-from lines.directory import Newsreader
-from lines.frame import Board, Counters
-from lines.frame.boot import check_boot
-from lines.rpc import CallError, ConnectionPool
+from archhatch.membership import Newsreader
+from archhatch.runtime import Board, Counters
+from archhatch.runtime.settings import check_boot
+from archhatch.rpc import CallError, ConnectionPool
 
 BOOT = check_boot(
     {"NodeName": "n", "IpAddress": "1.1.1.1", "InternalPorts": [7, 9], "SeedPeers": ["1.1.1.1:80", "1.1.1.2:80"]}
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -8,12 +8,12 @@
 from aiohttp import web
 from conftest import HandClock
 
-from lines.dialplan import Plan
-from lines.frame import Board, Clock, Counters, Result
-from lines.sends import ONCE, Caller, Picker, Ran
-from lines.switchboard.forward import Forward
-from lines.switchboard.live import Live
-from lines.switchboard.relay import Relay
+from archhatch.routing import Plan
+from archhatch.runtime import Board, Clock, Counters, Result
+from archhatch.upstream import ONCE, Caller, Picker, Ran
+from archhatch.data_plane.forward import Forward
+from archhatch.data_plane.live_requests import Live
+from archhatch.data_plane.relay import Relay
 
 EVENTS = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -7,12 +7,12 @@
 import pytest
 from transitions import Machine
 
-from lines.dialplan import Plan
-from lines.frame import Board, Counters, open_logs
-from lines.frame.boot import check_boot
-from lines.sends import NotSent
-from lines.supervisor import Engines, Orders
-from lines.supervisor.reign import MOVES
+from archhatch.routing import Plan
+from archhatch.runtime import Board, Counters, open_logs
+from archhatch.runtime.settings import check_boot
+from archhatch.upstream import NotSent
+from archhatch.rollout_controller import Engines, Orders
+from archhatch.rollout_controller.leadership_term import MOVES
 
 BOOT = check_boot(
     {"NodeName": "n", "IpAddress": "1.1.1.1", "InternalPorts": [1, 9], "Bounds": {"LeaseMs": 300, "ContactMs": 300}}
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -5,7 +5,7 @@
 import pytest
 from test_dialplan import BAD, GOOD, ROUTE, changed
 
-from lines.control.registers import commands
+from archhatch.control.registers import commands
 
 
 def do(val, cmd, /, **args):
--- a/tests/test_picker.py
+++ b/tests/test_picker.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lines.sends import Picker
+from archhatch.upstream import Picker
 
 
 def picker(**changes):
--- a/tests/test_proxies.py
+++ b/tests/test_proxies.py
@@ -7,12 +7,12 @@
 from conftest import HandClock
 from test_hedging import GOOD, Req, setup
 
-from lines.dialplan import Plan
-from lines.frame import Counters
-from lines.rpc import CallError, Refusal
-from lines.sends import Answer, Picker, Ran
-from lines.store.proxy import RequestProxy
-from lines.switchboard.proxies import HALF_S, RARE, Proxy, StoreProxies
+from archhatch.routing import Plan
+from archhatch.runtime import Counters
+from archhatch.rpc import CallError, Refusal
+from archhatch.upstream import Answer, Picker, Ran
+from archhatch.store.proxy import RequestProxy
+from archhatch.data_plane.store_proxies import HALF_S, RARE, Proxy, StoreProxies
 
 
 def member(zone, state="active", n=1):
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -9,20 +9,20 @@
 from conftest import MemBook
 from test_batches import LOT
 
-from lines.directory import rank
-from lines.control.registers import commands
-from lines.store.disk import DiskState
-from lines.store.handlers import lacks
-from lines.store.membership import Membership
-from lines.store.node import StoreNode
-from lines.frame import Board, Counters, Crew, open_logs
-from lines.frame.boot import check_boot
-from lines.supervisor import Reign
-from lines.switchboard.lotdesk import LotDesk
-from lines.batches import Replicator, Quorum, Record, RecordStore, active
-from lines.batches.replicator import SHUN
-from lines.batches.record import pack_many, unpack_many
-from lines.rpc import CallError
+from archhatch.membership import rank
+from archhatch.control.registers import commands
+from archhatch.store.disk import DiskState
+from archhatch.store.handlers import lacks
+from archhatch.store.membership import Membership
+from archhatch.store.node import StoreNode
+from archhatch.runtime import Board, Counters, Crew, open_logs
+from archhatch.runtime.settings import check_boot
+from archhatch.rollout_controller import Reign
+from archhatch.data_plane.job_handlers import LotDesk
+from archhatch.jobs import Replicator, Quorum, Record, RecordStore, active
+from archhatch.jobs.replicator import SHUN
+from archhatch.jobs.record import pack_many, unpack_many
+from archhatch.rpc import CallError
 
 LOG = open_logs("t", "CRITICAL")
 
--- a/tests/test_record_store.py
+++ b/tests/test_record_store.py
@@ -6,9 +6,9 @@
 from conftest import MemBook
 from simdisk import InlineWorker, SimDisk
 
-from lines.batches import Record, RecordStore
-from lines.frame import Counters
-from lines.wal import LogError, WriteAheadLog
+from archhatch.jobs import Record, RecordStore
+from archhatch.runtime import Counters
+from archhatch.wal import LogError, WriteAheadLog
 
 
 class Book(MemBook):
--- a/tests/test_region_watch.py
+++ b/tests/test_region_watch.py
@@ -5,13 +5,13 @@
 import pytest
 from conftest import HandClock
 
-from lines.areacodes import Policy
-from lines.areacodes.duty import RegionDuty
-from lines.areacodes.facts import commands
-from lines.areacodes.watch import RegionWatch
-from lines.directory import Roll
-from lines.frame import Board, Counters
-from lines.frame.boot import check_boot
+from archhatch.region_policy import Policy
+from archhatch.region_policy.region_monitor import RegionDuty
+from archhatch.region_policy.commands import commands
+from archhatch.region_policy.watch import RegionWatch
+from archhatch.membership import Roll
+from archhatch.runtime import Board, Counters
+from archhatch.runtime.settings import check_boot
 
 QUIET, RETURN = 3.0, 12.0
 TEXT = """version = 1
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -14,7 +14,7 @@
 from conftest import ROOT
 from standins import LOG, Replica, World, lot, plan
 
-from lines.switchboard.edge import Edge
+from archhatch.data_plane.edge import Edge
 
 ZONES = {"z1": "attica", "z2": "thessaly", "z3": "crete"}
 POLICY = """version = 1
@@ -521,9 +521,11 @@
 async def tool(w, *args):
     p = await asyncio.create_subprocess_exec(
         sys.executable,
-        f"{ROOT}/archhatch.py",
+        "-m",
+        "archhatch",
         "policy",
         *args,
+        cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
--- a/tests/test_reign.py
+++ b/tests/test_reign.py
@@ -7,10 +7,10 @@
 from conftest import MemBook
 from test_batches import LOT
 
-from lines.frame import Board, Counters, Crew, open_logs
-from lines.frame.boot import check_boot
-from lines.supervisor import Reign
-from lines.batches import Deposed, Quorum, Record, RecordStore
+from archhatch.runtime import Board, Counters, Crew, open_logs
+from archhatch.runtime.settings import check_boot
+from archhatch.rollout_controller import Reign
+from archhatch.jobs import Deposed, Quorum, Record, RecordStore
 
 BOOT = check_boot({"NodeName": "n", "IpAddress": "1.1.1.1", "InternalPorts": [1, 9]})
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lines.supervisor.room import LoadRoom
+from archhatch.rollout_controller.load_concurrency import LoadRoom
 
 
 def learnt(engines, samples):
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -3,8 +3,8 @@
 
 import pytest
 
-from lines.frame import Counters, open_logs
-from lines.rpc import (
+from archhatch.runtime import Counters, open_logs
+from archhatch.rpc import (
     CallError,
     ConnectionPool,
     Envelope,
@@ -15,7 +15,7 @@
     framing,
     is_misdirected,
 )
-from lines.rpc.framing import FrameFault, pack, read_frame
+from archhatch.rpc.framing import FrameFault, pack, read_frame
 
 FRAME = pack(Envelope(call=7, verb="ping", head=b"{}"))
 
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from lines.dialplan import Plan
-from lines.frame import Board, Counters
-from lines.sends import AGAIN, Answer, Picker, Ran
-from lines.supervisor.lull import Lull
-from lines.supervisor.scoring import Scoring
+from archhatch.routing import Plan
+from archhatch.runtime import Board, Counters
+from archhatch.upstream import AGAIN, Answer, Picker, Ran
+from archhatch.rollout_controller.load_limit import Lull
+from archhatch.rollout_controller.scoring import Scoring
 
 PLAN = Plan(
     {
--- a/tests/test_share_group.py
+++ b/tests/test_share_group.py
@@ -7,7 +7,7 @@
 from standins import lot
 from test_system import holder, world
 
-from lines.rpc import Refusal
+from archhatch.rpc import Refusal
 
 
 def workers(w, but=None):
--- a/tests/test_share_window.py
+++ b/tests/test_share_window.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from lines.cordboard import BadMove, LotQueue, State, Window, WindowJournal
-from lines.cordboard.journal import EVERY, batches
-from lines.cordboard.window import TABLE
-from lines.frame import Counters
-from lines.batches import Record, RecordStore
+from archhatch.share_group import BadMove, LotQueue, State, Window, WindowJournal
+from archhatch.share_group.window_journal import EVERY, batches
+from archhatch.share_group.window import TABLE
+from archhatch.runtime import Counters
+from archhatch.jobs import Record, RecordStore
 
 
 def window(n=5, locks=200):
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from lines.simulation import command
-from lines.simulation.plants import PLANTS, planted
-from lines.simulation.repair import KINDS, measure
-from lines.simulation.runner import Model, Settings, faults_of, play, shrink
-from lines.simulation.trace import tell
+from archhatch.simulation import command
+from archhatch.simulation.planted_faults import PLANTS, planted
+from archhatch.simulation.repair import KINDS, measure
+from archhatch.simulation.runner import Model, Settings, faults_of, play, shrink
+from archhatch.simulation.trace import tell
 
 SHORT = Settings(length_s=10.0)
 CONTROL = Settings(Model.CONTROL, length_s=14.0)
@@ -97,7 +97,7 @@
 
 
 # Seeds at 3 nodes and 24 s that find a planted fault. A change of the code under test moves them: look for new ones
-# with `archhatch.py simulate --seeds 0:100 --plant NAME`.
+# with `archhatch simulate --seeds 0:100 --plant NAME`.
 FOUND_BY = {
     "unsynced-log": (8, 13),
     "unsynced-folder": (8, 13),
--- a/tests/test_simulation_checker.py
+++ b/tests/test_simulation_checker.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from lines.simulation.checker import Rule, check
-from lines.simulation.history import Attempt, Calm, Change, Form, Grant, History, Outcome, Read, Seen
+from archhatch.simulation.checker import Rule, check
+from archhatch.simulation.history import Attempt, Calm, Change, Form, Grant, History, Outcome, Read, Seen
 
 ACK, CONFLICT, INVALID, UNCLEAR = Outcome.ACKNOWLEDGED, Outcome.CONFLICT, Outcome.INVALID, Outcome.UNCLEAR
 
--- a/tests/test_simulation_world.py
+++ b/tests/test_simulation_world.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from lines.rpc import CallError, Handlers, Refusal
-from lines.simulation.disk import SimulatedDisk
-from lines.simulation.faults import FaultKind, Shape, draw_faults
-from lines.simulation.loop import Life, SimulationStuck, VirtualLoop
-from lines.simulation.network import SimulatedNetwork
+from archhatch.rpc import CallError, Handlers, Refusal
+from archhatch.simulation.disk import SimulatedDisk
+from archhatch.simulation.faults import FaultKind, Shape, draw_faults
+from archhatch.simulation.loop import Life, SimulationStuck, VirtualLoop
+from archhatch.simulation.network import SimulatedNetwork
 
 
 @pytest.fixture
--- a/tests/test_store_commands.py
+++ b/tests/test_store_commands.py
@@ -3,7 +3,7 @@
 import pytest
 from test_parts import do, stores
 
-from lines.control.registers import commands
+from archhatch.control.registers import commands
 
 
 def leaving(begun, retire=False):
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from lines.frame import Counters
-from lines.store.disk import DiskState
-from lines.wal import LogError
+from archhatch.runtime import Counters
+from archhatch.store.disk import DiskState
+from archhatch.wal import LogError
 
 CONTACT_S = 3.0
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -8,14 +8,14 @@
 from aiohttp import web
 from conftest import HandClock
 
-from lines.directory import Roll
-from lines.control.node import ControlNode
-from lines.control.peers import Told
-from lines.frame import open_logs
-from lines.frame.boot import check_boot
-from lines.sends import Caller, Picker
-from lines.sends.subset import HOME, Subset
-from lines.supervisor import Engines
+from archhatch.membership import Roll
+from archhatch.control.node import ControlNode
+from archhatch.control.peers import Told
+from archhatch.runtime import open_logs
+from archhatch.runtime.settings import check_boot
+from archhatch.upstream import Caller, Picker
+from archhatch.upstream.subset import HOME, Subset
+from archhatch.rollout_controller import Engines
 
 ZONES = ["z1", "z2", "z3", "z4"]
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -8,8 +8,8 @@
 from standins import lot, plan
 from test_system import holder, world
 
-from lines.batches import Deposed
-from lines.rpc import CallError
+from archhatch.jobs import Deposed
+from archhatch.rpc import CallError
 
 
 def copies(w, lid, total):
@@ -435,7 +435,7 @@
 
     bad = re.compile(r"time\.time\(|datetime|utcnow|time_ns\(|localtime|gmtime")
     reads, uses, seen = [], [], 0
-    for folder, _, names in os.walk(os.path.join(ROOT, "lines")):
+    for folder, _, names in os.walk(os.path.join(ROOT, "archhatch")):
         for name in names:
             if name.endswith(".py"):
                 seen += 1
@@ -445,5 +445,5 @@
                 reads += [os.path.relpath(path, ROOT)] * len(bad.findall(text))
                 uses += [os.path.relpath(path, ROOT)] * len(re.findall(r"\.wall\(\)", text))
     assert seen > 40
-    assert reads == ["lines/frame/clock.py"]
-    assert set(uses) == {"lines/frame/clock.py", "lines/control/peers.py"}
+    assert reads == ["archhatch/runtime/clock.py"]
+    assert set(uses) == {"archhatch/runtime/clock.py", "archhatch/control/peers.py"}
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -5,12 +5,12 @@
 import pytest
 from conftest import HandClock
 
-from lines.directory.agreed_time import AgreedTime
-from lines.frame import Counters
-from lines.rpc import CallError
-from lines.usage import collector
-from lines.usage.collector import UsageCollector
-from lines.usage.counter import WINDOWS_KEPT, UsageTeller
+from archhatch.membership.agreed_time import AgreedTime
+from archhatch.runtime import Counters
+from archhatch.rpc import CallError
+from archhatch.usage import collector
+from archhatch.usage.collector import UsageCollector
+from archhatch.usage.counter import WINDOWS_KEPT, UsageTeller
 
 VOTERS = {"s1": "1:1", "s2": "2:1", "s3": "3:1"}
 
--- a/tests/test_wal.py
+++ b/tests/test_wal.py
@@ -1,6 +1,6 @@
 import pytest
 
-from lines.wal import WriteAheadLog, pack_record, read_records
+from archhatch.wal import WriteAheadLog, pack_record, read_records
 
 RECS = [b"one", b"", b"three" * 100]
 WHOLE = b"".join(pack_record(r) for r in RECS)
--- a/tests/test_wal_faults.py
+++ b/tests/test_wal_faults.py
@@ -5,10 +5,10 @@
 import pytest
 from simdisk import InlineWorker, SimDisk
 
-from lines.frame import Counters
-from lines.wal import LogError, LogSetBackError, LogSyncError, LogWriteError, WriteAheadLog, generations
-from lines.wal.records import Tally, pack_record
-from lines.wal.scan import BytesSource, scan
+from archhatch.runtime import Counters
+from archhatch.wal import LogError, LogSetBackError, LogSyncError, LogWriteError, WriteAheadLog, generations
+from archhatch.wal.records import Tally, pack_record
+from archhatch.wal.scan import BytesSource, scan
 
 ENDS = ["kill", 0, 1, "names", "bytes", 2, 3]  # how a process ends: killed, or power lost with this seed
 LOSSES = [(how, loss) for how in ENDS for loss in ((0, "names") if how == "kill" else (0,))]
--- a/tests/test_window.py
+++ b/tests/test_window.py
@@ -3,8 +3,8 @@
 
 import pytest
 
-from lines.counter import Window
-from lines.frame import Counters, Result, open_logs
+from archhatch.http_server import Window
+from archhatch.runtime import Counters, Result, open_logs
 
 
 async def window(limits=None, handler=None):
@@ -122,7 +122,7 @@
 def test_life_of_an_edge(state, sign, dest):
     from transitions import Machine
 
-    from lines.switchboard.edge import MOVES
+    from archhatch.data_plane.edge import MOVES
 
     edge = types.SimpleNamespace()
     Machine(edge, states=["starting", "ready", "leaving"], initial=state, transitions=MOVES, auto_transitions=False)
--- a/tests/thousand_changes.py
+++ b/tests/thousand_changes.py
@@ -17,11 +17,11 @@
 
 import orjson
 
-from lines.consensus import Acceptor, Proposer
-from lines.control.agreement import REWRITE_BYTES, REWRITE_GROWTH
-from lines.control.registers import commands
-from lines.frame import Counters
-from lines.wal import WriteAheadLog
+from archhatch.consensus import Acceptor, Proposer
+from archhatch.control.agreement import REWRITE_BYTES, REWRITE_GROWTH
+from archhatch.control.registers import commands
+from archhatch.runtime import Counters
+from archhatch.wal import WriteAheadLog
 
 VOTERS = {name: name for name in "abc"}
 
