--- a/tests/demo_evacuation.py
+++ b/benchmarks/demo_evacuation.py
@@ -1,4 +1,4 @@
-"""A planned move to look at, on this machine: python3 tests/demo_evacuation.py. Not a test.
+"""A planned move to look at, on this machine: python3 benchmarks/demo_evacuation.py. Not a test.
 
 Starts a whole system over loopback (three control nodes, four stores and two edges in two regions, emulated replicas),
 puts load on it, moves a tenant and brings it home, and prints what `archhatch evacuate status` would.
@@ -13,8 +13,8 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 sys.path[:0] = [os.path.join(ROOT, "target", "deps"), os.path.join(ROOT, "target", "test"), ROOT]
 
-from evacuation_rig import KEY, EvacuationDay, seen_of  # noqa: E402
-from test_regions import ZONES  # noqa: E402
+from tests.support.evacuation_rig import KEY, EvacuationDay, seen_of  # noqa: E402
+from tests.region_policy.test_regions_system import ZONES  # noqa: E402
 
 from archhatch.evacuation.client import describe  # noqa: E402
 
--- a/tests/rewrite_memory.py
+++ b/benchmarks/log_rewrite_memory.py
@@ -1,4 +1,4 @@
-"""Peak memory of a store's log, with 30 lots of 200 items: python3 tests/rewrite_memory.py SOURCES"""
+"""Peak memory of a store's log, with 30 lots of 200 items: python3 benchmarks/log_rewrite_memory.py SOURCES"""
 
 import asyncio
 import base64
--- a/tests/measure_evacuation.py
+++ b/benchmarks/measure_evacuation.py
@@ -1,4 +1,4 @@
-"""What a planned move costs a trainer, on this machine: python3 tests/measure_evacuation.py [ROUNDS]. Not a test.
+"""What a planned move costs a trainer, on this machine: python3 benchmarks/measure_evacuation.py [ROUNDS]. Not a test.
 
 A trainer hands in one lot after the other, first without a move, then with one in the middle; prints the seconds for
 of all of them, the longest pause between two results, and how many items ran more than once.
@@ -15,9 +15,9 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 sys.path[:0] = [os.path.join(ROOT, "target", "deps"), os.path.join(ROOT, "target", "test"), ROOT]
 
-from evacuation_rig import KEY, EvacuationDay  # noqa: E402
-from standins import lot  # noqa: E402
-from test_regions import ZONES  # noqa: E402
+from tests.support.evacuation_rig import KEY, EvacuationDay  # noqa: E402
+from tests.support.standins import lot  # noqa: E402
+from tests.region_policy.test_regions_system import ZONES  # noqa: E402
 
 LOTS = 60
 
--- a/tests/microbench.py
+++ b/benchmarks/microbench.py
@@ -1,4 +1,4 @@
-"""Costs by the number of replicas, on this machine: python3 tests/microbench.py [--rounds N]. Not a test.
+"""Costs by the number of replicas, on this machine: python3 benchmarks/microbench.py [--rounds N]. Not a test.
 
 Prints one row for each number of replicas; each figure is the least of some rounds, in microseconds a call.
 """
--- a/tests/thousand_changes.py
+++ b/benchmarks/thousand_changes.py
@@ -1,6 +1,6 @@
 """Measures a thousand changes of a large configuration: log, memory, bytes between nodes, start-up, catching up.
 
-    PYTHONPATH=target/deps python3 tests/thousand_changes.py [changes] [routes]
+    PYTHONPATH=target/deps python3 benchmarks/thousand_changes.py [changes] [routes]
 
 Three acceptors with real logs on this machine's disk and one proposer; one voter is cut off for the whole time. No
 verdict: it prints what it saw.
--- a/tests/test_capacity.py
+++ b/tests/capacity/test_capacity.py
@@ -21,7 +21,7 @@
 from archhatch.capacity.size import SIZE, read_scale, read_slopes
 from archhatch.capacity.table import BEGIN, END, block, shown, verdict
 
-ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 RECORDED = os.path.join(ROOT, SLOPES)
 ROLES = ["edge", "control node", "store as partition leader", "store as worker", "rollout controller", "operator API"]
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,30 +9,7 @@
 
 import pytest  # noqa: E402
 
-
-class HandClock:
-    """A steady clock moved by hand, and a time of day that goes with it until it is stepped."""
-
-    def __init__(self, at: float = 100.0):
-        self.at, self.day_starts = at, 1_700_000_000.0
-
-    def now(self) -> float:
-        return self.at
-
-    def wall(self) -> float:
-        return self.day_starts + self.at
-
-
-class MemBook:
-    """A wal in memory: what was synced, and what a loss of power leaves."""
-
-    limit_bytes = 0
-
-    def __init__(self):
-        self.raws: list = []
-
-    async def append(self, *raws: bytes) -> None:
-        self.raws.extend(raws)
+from tests.support.fakes import HandClock  # noqa: E402
 
 
 @pytest.fixture
--- a/tests/test_consensus.py
+++ b/tests/consensus/test_consensus.py
@@ -4,7 +4,7 @@
 
 import orjson
 import pytest
-from conftest import MemBook
+from tests.support.fakes import MemBook
 
 from archhatch.runtime import Counters
 from archhatch.consensus import Commands, Acceptor, Proposer, Unclear, covers, majority
--- a/tests/test_ballots.py
+++ b/tests/consensus/test_proposal_number.py
@@ -4,7 +4,7 @@
 
 import orjson
 import pytest
-from conftest import MemBook
+from tests.support.fakes import MemBook
 
 from archhatch.consensus import Acceptor, Ballot, Commands, Proposer, Unclear
 from archhatch.runtime import Counters
--- a/tests/test_config_commands.py
+++ b/tests/control/test_config_commands.py
@@ -4,8 +4,8 @@
 import copy
 
 import pytest
-from conftest import MemBook
-from test_dialplan import GOOD, changed
+from tests.support.fakes import MemBook
+from tests.routing.test_routing import GOOD, changed
 
 from archhatch.consensus import Acceptor, Proposer, Unclear
 from archhatch.control.api_requests import MOST_VERSION, BadCall, decode
--- a/tests/test_control_safety.py
+++ b/tests/control/test_control_safety.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import HandClock, MemBook
+from tests.support.fakes import HandClock, MemBook
 
 from archhatch.jobs import Quorum
 from archhatch.consensus import Acceptor
--- a/tests/test_feed_delta.py
+++ b/tests/control/test_feed.py
@@ -5,7 +5,7 @@
 
 import orjson
 import pytest
-from conftest import HandClock
+from tests.support.fakes import HandClock
 
 from archhatch.control.feed import ConfigFeed
 from archhatch.control.history import KEEP_CHANGES, RegisterHistory
--- a/tests/test_parts.py
+++ b/tests/control/test_registers.py
@@ -3,7 +3,7 @@
 import copy
 
 import pytest
-from test_dialplan import BAD, GOOD, ROUTE, changed
+from tests.routing.test_routing import BAD, GOOD, ROUTE, changed
 
 from archhatch.control.registers import commands
 
--- a/tests/test_store_commands.py
+++ b/tests/control/test_store_commands.py
@@ -1,7 +1,7 @@
 """The stores' membership under fences: who may end a leaving store's membership, and when a retirement is complete."""
 
 import pytest
-from test_parts import do, stores
+from tests.control.test_registers import do, stores
 
 from archhatch.control.registers import commands
 
--- a/tests/test_once.py
+++ b/tests/data_plane/test_at_most_once.py
@@ -6,7 +6,7 @@
 import aiohttp
 import pytest
 from aiohttp import web
-from conftest import HandClock
+from tests.support.fakes import HandClock
 
 from archhatch.routing import Plan
 from archhatch.runtime import Board, Clock, Counters, Result
--- a/tests/test_hedging.py
+++ b/tests/data_plane/test_hedging.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from conftest import HandClock
+from tests.support.fakes import HandClock
 from multidict import CIMultiDict
 
 from archhatch.routing import Plan
--- a/tests/test_lotdesk.py
+++ b/tests/data_plane/test_job_handlers.py
@@ -6,9 +6,9 @@
 
 import orjson
 import pytest
-from conftest import HandClock
-from test_batches import LOT
-from test_quorum import settings
+from tests.support.fakes import HandClock
+from tests.jobs.test_batch_job import LOT
+from tests.jobs.test_quorum import settings
 
 from archhatch.runtime import Counters
 from archhatch.rpc import CallError
--- a/tests/test_proxies.py
+++ b/tests/data_plane/test_store_proxies.py
@@ -4,8 +4,8 @@
 import types
 
 import pytest
-from conftest import HandClock
-from test_hedging import GOOD, Req, setup
+from tests.support.fakes import HandClock
+from tests.data_plane.test_hedging import GOOD, Req, setup
 
 from archhatch.routing import Plan
 from archhatch.runtime import Counters
--- a/tests/test_doctor.py
+++ b/tests/diagnostics/test_doctor.py
@@ -3,8 +3,8 @@
 import sys
 
 import pytest
-from conftest import ROOT
-from standins import World, plan
+from tests.support.fakes import ROOT
+from tests.support.standins import World, plan
 
 from archhatch.diagnostics import Doctor, report
 from archhatch.wal import pack_record
--- a/tests/test_importer.py
+++ b/tests/diagnostics/test_importer.py
@@ -3,7 +3,7 @@
 import sys
 
 import pytest
-from conftest import ROOT
+from tests.support.fakes import ROOT
 
 from archhatch.routing import Plan
 from archhatch.diagnostics.importer import Importer, ImportFault
--- a/tests/test_evacuation.py
+++ b/tests/evacuation/test_evacuation_system.py
@@ -4,8 +4,8 @@
 import time
 
 import pytest
-from evacuation_rig import KEY, POLICY, EvacuationDay, Parting, Seen, seen_of, sound
-from test_regions import ZONES, RegionReplica
+from tests.support.evacuation_rig import KEY, POLICY, EvacuationDay, Parting, Seen, seen_of, sound
+from tests.region_policy.test_regions_system import ZONES, RegionReplica
 
 KEEPALIVE_MS = 1000  # replicas here beat five times as often: late ones must not look silent on a busy machine
 # How long a move waits for live requests follows from StatusS, not from the routes' time-out: a request that is held in
--- a/tests/test_client_leaves.py
+++ b/tests/http_server/test_client_disconnect.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from test_hedging import GOOD, OUT, Req, setup
+from tests.data_plane.test_hedging import GOOD, OUT, Req, setup
 
 from archhatch.http_server import Window
 from archhatch.runtime import Counters, Result, open_logs
--- a/tests/test_batches.py
+++ b/tests/jobs/test_batch_job.py
@@ -3,7 +3,7 @@
 
 import orjson
 import pytest
-from conftest import MemBook
+from tests.support.fakes import MemBook
 
 from archhatch.runtime import Counters
 from archhatch.jobs import BadLot, Record, RecordStore, check_lot, pack, read_lot, unpack
--- a/tests/test_quorum.py
+++ b/tests/jobs/test_quorum.py
@@ -6,8 +6,8 @@
 
 import orjson
 import pytest
-from conftest import MemBook
-from test_batches import LOT
+from tests.support.fakes import MemBook
+from tests.jobs.test_batch_job import LOT
 
 from archhatch.membership import rank
 from archhatch.control.registers import commands
--- a/tests/test_record_store.py
+++ b/tests/jobs/test_record_store.py
@@ -3,8 +3,8 @@
 import asyncio
 
 import pytest
-from conftest import MemBook
-from simdisk import InlineWorker, SimDisk
+from tests.support.fakes import MemBook
+from tests.support.simulated_disk import InlineWorker, SimDisk
 
 from archhatch.jobs import Record, RecordStore
 from archhatch.runtime import Counters
--- a/tests/test_newsreader.py
+++ b/tests/membership/test_config_watcher.py
@@ -1,7 +1,7 @@
 """News as it reaches a node: never back in one life, whichever control node tells it, however late."""
 
 import pytest
-from conftest import HandClock
+from tests.support.fakes import HandClock
 
 from archhatch.membership import Newsreader
 from archhatch.runtime import Board, Counters
--- a/tests/test_areacodes.py
+++ b/tests/region_policy/test_region_policy.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import ROOT
+from tests.support.fakes import ROOT
 
 from archhatch.region_policy import Placement
 from archhatch.region_policy.explain import explain
--- a/tests/test_regions.py
+++ b/tests/region_policy/test_regions_system.py
@@ -11,8 +11,8 @@
 import aiohttp
 import orjson
 import pytest
-from conftest import ROOT
-from standins import LOG, Replica, World, lot, plan
+from tests.support.fakes import ROOT
+from tests.support.standins import LOG, Replica, World, lot, plan
 
 from archhatch.data_plane.edge import Edge
 
--- a/tests/test_region_watch.py
+++ b/tests/region_policy/test_watch.py
@@ -3,7 +3,7 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import HandClock
+from tests.support.fakes import HandClock
 
 from archhatch.region_policy import Policy
 from archhatch.region_policy.region_monitor import RegionDuty
--- a/tests/test_reign.py
+++ b/tests/rollout_controller/test_leadership_term.py
@@ -4,8 +4,8 @@
 
 import orjson
 import pytest
-from conftest import MemBook
-from test_batches import LOT
+from tests.support.fakes import MemBook
+from tests.jobs.test_batch_job import LOT
 
 from archhatch.runtime import Board, Counters, Crew, open_logs
 from archhatch.runtime.settings import check_boot
--- a/tests/test_lull.py
+++ b/tests/rollout_controller/test_load_limit.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from standins import World, lot, plan
+from tests.support.standins import World, lot, plan
 
 from archhatch.membership import LiveBook
 from archhatch.runtime import Board
--- a/tests/test_boot.py
+++ b/tests/runtime/test_settings.py
@@ -98,7 +98,7 @@
 
     from archhatch.runtime import CODES
 
-    here = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+    here = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
     with open(os.path.join(here, "docs", "codes.md")) as f:
         rows = [line for line in f if line.startswith("| ") and line[2].isdigit()]
     assert rows == [f"| {n} | {s} | {t} |\n" for n, (s, t) in sorted(CODES.items())]
--- a/tests/test_forecast.py
+++ b/tests/share_group/test_run_times.py
@@ -3,7 +3,7 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import HandClock
+from tests.support.fakes import HandClock
 
 from archhatch.share_group import Leader
 from archhatch.share_group.run_times import RunTimes
--- a/tests/test_share_group.py
+++ b/tests/share_group/test_share_group.py
@@ -4,8 +4,8 @@
 
 import orjson
 import pytest
-from standins import lot
-from test_system import holder, world
+from tests.support.standins import lot
+from tests.system.test_system import holder, world
 
 from archhatch.rpc import Refusal
 
--- a/tests/test_ledger.py
+++ b/tests/singleton_roles/test_singleton_roles.py
@@ -3,7 +3,7 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import HandClock
+from tests.support.fakes import HandClock
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
--- a/tests/test_duties.py
+++ b/tests/singleton_roles/test_singleton_roles_system.py
@@ -1,8 +1,8 @@
 """Duties over real sockets: keys at the door, usage reports, orders of replicas; also when their holder is killed."""
 
 import pytest
-from platform_standin import Platform
-from standins import World, lot, plan
+from tests.support.platform_standin import Platform
+from tests.support.standins import World, lot, plan
 
 from archhatch.autoscaler.controller import latest_orders
 from archhatch.autoscaler.policy import ScaleLimits, ServiceScaler
--- a/tests/test_lease.py
+++ b/tests/store/test_lease.py
@@ -5,9 +5,9 @@
 
 import orjson
 import pytest
-from conftest import MemBook
-from test_batches import LOT
-from test_quorum import Node, Site, settings
+from tests.support.fakes import MemBook
+from tests.jobs.test_batch_job import LOT
+from tests.jobs.test_quorum import Node, Site, settings
 
 from archhatch.region_policy import Placement
 from archhatch.store.departure import Departure
--- a/tests/evacuation_rig.py
+++ b/tests/support/evacuation_rig.py
@@ -10,8 +10,8 @@
 import aiohttp
 import orjson
 from aiohttp import web
-from standins import LOG, plan
-from test_regions import ZONES, Day
+from tests.support.standins import LOG, plan
+from tests.region_policy.test_regions_system import ZONES, Day
 
 from archhatch.evacuation.notices import ID, SIGNATURE, sign
 from archhatch.rpc import CallError
--- a/tests/test_troubles.py
+++ b/tests/system/test_faults.py
@@ -5,8 +5,8 @@
 
 import orjson
 import pytest
-from standins import lot, plan
-from test_system import holder, world
+from tests.support.standins import lot, plan
+from tests.system.test_system import holder, world
 
 from archhatch.jobs import Deposed
 from archhatch.rpc import CallError
@@ -431,7 +431,7 @@
     import os
     import re
 
-    from conftest import ROOT
+    from tests.support.fakes import ROOT
 
     bad = re.compile(r"time\.time\(|datetime|utcnow|time_ns\(|localtime|gmtime")
     reads, uses, seen = [], [], 0
--- a/tests/test_fuzz_outside.py
+++ b/tests/system/test_fuzz_external_input.py
@@ -6,7 +6,7 @@
 import orjson
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from standins import lot, plan
+from tests.support.standins import lot, plan
 
 from archhatch.jobs import BadLot, check_lot, read_lot
 from archhatch.control.api_requests import BadCall, decode
--- a/tests/test_hardening.py
+++ b/tests/system/test_hardening.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from test_once import EVENTS, RESET, SEAL, Bare, Front, head
+from tests.data_plane.test_at_most_once import EVENTS, RESET, SEAL, Bare, Front, head
 
 from archhatch.upstream import AGAIN, Caller, Ran
 
--- a/tests/test_system.py
+++ b/tests/system/test_system.py
@@ -4,7 +4,7 @@
 
 import aiohttp
 import pytest
-from standins import World, lot, plan
+from tests.support.standins import World, lot, plan
 
 
 async def world(tmp_path, **kw):
--- a/tests/test_subset.py
+++ b/tests/upstream/test_subset.py
@@ -6,7 +6,7 @@
 import orjson
 import pytest
 from aiohttp import web
-from conftest import HandClock
+from tests.support.fakes import HandClock
 
 from archhatch.membership import Roll
 from archhatch.control.node import ControlNode
--- a/tests/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -3,7 +3,7 @@
 import types
 
 import pytest
-from conftest import HandClock
+from tests.support.fakes import HandClock
 
 from archhatch.membership.agreed_time import AgreedTime
 from archhatch.runtime import Counters
--- a/tests/test_wal_faults.py
+++ b/tests/wal/test_wal_faults.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from simdisk import InlineWorker, SimDisk
+from tests.support.simulated_disk import InlineWorker, SimDisk
 
 from archhatch.runtime import Counters
 from archhatch.wal import LogError, LogSetBackError, LogSyncError, LogWriteError, WriteAheadLog, generations
