--- a/archhatch/autoscaler/controller.py
+++ b/archhatch/autoscaler/controller.py
@@ -11,9 +11,9 @@
 
 from ..platform_client import PlatformClient
 from ..singleton_roles.commands import split_key
-from ..singleton_roles.effect import EffectFailed, protect
-from ..singleton_roles.lease import DutyCallFailed, StandingLease
-from ..singleton_roles.record import DutyState
+from ..singleton_roles.effect import EffectFailedError, protect
+from ..singleton_roles.lease import RoleCallError, StandingLease
+from ..singleton_roles.record import RoleState
 from .policy import ScaleLimits, ServiceScaler, spread
 
 DUTY = "scaling"  # the name in the settings
@@ -57,7 +57,7 @@
         duties = self.st.ledger.duties(NAMESPACE)
         latest = latest_orders(duties)
         for subject, (number, duty) in latest.items():
-            if duty["state"] == DutyState.RUNNING.value:
+            if duty["state"] == RoleState.RUNNING.value:
                 self._start(subject, number, duty["intent"])
         for name, service in self.st.plan.services.items():
             limits = ScaleLimits.read(service)
@@ -112,9 +112,9 @@
     async def _order(self, subject: str, number: int, order: dict) -> None:
         try:
             await protect(self.lease, f"{NAMESPACE}/{subject}:{number}", order, self._send, self._observe)
-        except DutyCallFailed as e:
+        except RoleCallError as e:
             self.st.ctr.add(f"capacity.put_off.{e.code}")
-        except EffectFailed as e:
+        except EffectFailedError as e:
             self.st.log.error("capacity: {}: {}", order, e)
 
     async def _observe(self, order: dict) -> str | None:
--- a/archhatch/capacity/__init__.py
+++ b/archhatch/capacity/__init__.py
@@ -6,7 +6,7 @@
 
 from .fit import Fit, fit_line
 from .measure import Measure
-from .size import SizeFault, read_size
+from .size import SizeError, read_size
 from .table import Table
 
 __all__ = ["Fit", "fit_line", "Measure", "SizeFault", "read_size", "Table"]
--- a/archhatch/capacity/command.py
+++ b/archhatch/capacity/command.py
@@ -6,7 +6,7 @@
 import sys
 
 from .measure import ROOT, Measure, write
-from .size import SizeFault, read_scale, read_size, read_slopes
+from .size import SizeError, read_scale, read_size, read_slopes
 from .table import Table, block
 
 PAGE = os.path.join("docs", "CAPACITY.md")
@@ -44,7 +44,7 @@
             return 2
         try:
             return fn(self)
-        except SizeFault as e:
+        except SizeError as e:
             print(f"archhatch: {e}", file=sys.stderr)
             return 2
         except OSError as e:
@@ -63,7 +63,7 @@
             page = f.read()
         old = block(page)
         if old is None:
-            raise SizeFault(self.page, "(markers)", "the table's markers are missing")
+            raise SizeError(self.page, "(markers)", "the table's markers are missing")
         return page, old
 
 
--- a/archhatch/capacity/needs.py
+++ b/archhatch/capacity/needs.py
@@ -10,8 +10,8 @@
 class Missing(Exception):
     """A name that a probe measures is not there any more.
 
-    >>> str(Missing("archhatch.membership.replica_registry: Roll.bet"))
-    'archhatch.membership.replica_registry: Roll.bet: no such name; the probe that measures it must follow'
+    >>> str(Missing("archhatch.membership.replica_registry: ReplicaRegistry.bet"))
+    'archhatch.membership.replica_registry: ReplicaRegistry.bet: no such name; the probe that measures it must follow'
     """
 
     def __init__(self, name: str):
@@ -22,8 +22,8 @@
 def need(module: str, name: str, *methods: str):
     """A name of one of our modules, sure to have these methods; Missing tells which lacks.
 
-    >>> need("membership.replica_registry", "Roll", "beat", "since").__name__
-    'Roll'
+    >>> need("membership.replica_registry", "ReplicaRegistry", "beat", "since").__name__
+    'ReplicaRegistry'
     """
     full = f"{ROOT}.{module}"
     try:
--- a/archhatch/capacity/probes/control.py
+++ b/archhatch/capacity/probes/control.py
@@ -15,7 +15,7 @@
 
 
 def full_roll(n: int):
-    roll = need("membership.replica_registry", "Roll", "beat", "since", "sweep", "beats_since")()
+    roll = need("membership.replica_registry", "ReplicaRegistry", "beat", "since", "sweep", "beats_since")()
     for i in range(n):
         roll.beat(entry(i), 0.0)
     return roll
@@ -101,7 +101,7 @@
 def told(n: int):
     """A control node that told another one all replicas, and since then heard a beat of each that says nothing new."""
     one = core(n)
-    one.peers.told[OTHER] = need("control.peers", "Told")("x", one.roll.beat_turn)
+    one.peers.told[OTHER] = need("control.peers", "PeerReport")("x", one.roll.beat_turn)
     for i in range(n):
         one.roll.beat(entry(i, 2), one.clock.now())
     return one
@@ -123,7 +123,7 @@
     here, there = core(0), core(n)
     there.id = here.id  # the card of the same node: no second ping loop is begun
     here.peers.heed(orjson.loads(orjson.dumps(there.peers.ping_doc(OTHER))))  # the whole entries
-    there.peers.told[OTHER] = need("control.peers", "Told")("x", there.roll.beat_turn)
+    there.peers.told[OTHER] = need("control.peers", "PeerReport")("x", there.roll.beat_turn)
     raws = []
     for k in range(5):
         for i in range(n):
@@ -207,7 +207,7 @@
 @probe("beat.call", "cpu", "decode, fold and answer a beat, without its HTTP", "beats", (500, 1000, 2000))
 async def _call(n):
     one, decode = core(n), need("control.api_requests", "decode")
-    need("control.admin_api", "Administration", "beat")
+    need("control.admin_api", "AdminApi", "beat")
     raws = [(f"/api/instances/{entry(i)['id']}", beat_body(i, 9)) for i in range(n)]
 
     async def fn():
@@ -232,8 +232,8 @@
 def made_reader():
     """A reader of news that asks nobody."""
     b, frame = boot(), "runtime"
-    return need("membership", "Newsreader", "fold", "take_roll")(
-        b, {"id": "e"}, None, need(frame, "Board")(), need(frame, "Clock")(), need(frame, "Counters")()
+    return need("membership", "ConfigWatcher", "fold", "take_roll")(
+        b, {"id": "e"}, None, need(frame, "StateBoard")(), need(frame, "Clock")(), need(frame, "Counters")()
     )
 
 
--- a/archhatch/capacity/probes/edge.py
+++ b/archhatch/capacity/probes/edge.py
@@ -12,7 +12,7 @@
 
 def picker(n: int, service: str | None = None):
     """A picker that knows n replicas, of one service if it is named."""
-    one = need("upstream", "Picker", "fold", "pick")("zone-00", "edge-00", widen=0.5)
+    one = need("upstream", "LoadBalancer", "fold", "pick")("zone-00", "edge-00", widen=0.5)
     one.fold([{**entry(i), "service": service or entry(i)["service"]} for i in range(n)])
     return one
 
@@ -54,11 +54,11 @@
         self.edge = one = need("data_plane.edge", "Edge", "_front")(boot(), Quiet())
         self.peers = Peers()
         port = self.peers.start()
-        one.caller = need("upstream", "Caller", "ask")()
+        one.caller = need("upstream", "UpstreamClient", "ask")()
         args = (one.caller, one.picker, one.clock, one.ctr, one.live)
         one.forward = need("data_plane.forward", "Forward", "run")(*args)
         one.relay = need("data_plane.relay", "Relay", "run")(*args)
-        one.plan = need("routing", "Plan")(plan(4))
+        one.plan = need("routing", "RoutingTable")(plan(4))
         one.picker.fold([{**entry(i), "addr": f"127.0.0.1:{port}", "id": f"i-{i}"} for i in (0, 2)][:1])
         one.picker.fold([{**entry(2), "addr": f"localhost:{port}", "id": "i-1"}])
         await one.window.open("127.0.0.1:0")
@@ -125,7 +125,7 @@
     from .control import core
 
     one = core(n)
-    need("control.admin_api", "Administration", "answer")
+    need("control.admin_api", "AdminApi", "answer")
     await one.window.open("127.0.0.1:0")
 
     async def fn():
--- a/archhatch/capacity/probes/lots.py
+++ b/archhatch/capacity/probes/lots.py
@@ -15,13 +15,13 @@
 
 @probe("lot.check", "cpu", "check a lot at an edge", "items", SOME)
 async def _check(n):
-    check, raw = need("jobs", "check_lot"), orjson.dumps(lot(n))
+    check, raw = need("jobs", "check_job"), orjson.dumps(lot(n))
     yield (lambda: check("a", raw)), 1
 
 
 @probe("lot.read", "cpu", "read a lot in at its holder", "items", SOME)
 async def _read(n):
-    read, raw = need("jobs", "read_lot"), orjson.dumps(lot(n))
+    read, raw = need("jobs", "read_job"), orjson.dumps(lot(n))
     head = {"lot": "a", "run": "service-00", "host": "h", "path": "/roll/"}
     yield (lambda: read(head, raw, 0.0)), 1
 
@@ -33,7 +33,7 @@
 
 @probe("lot.memory", "memory", "a lot in hand beside its bytes", "items", (512, 2048))
 async def _memory(n):
-    read = need("jobs", "read_lot")
+    read = need("jobs", "read_job")
 
     def fn():
         raw = orjson.dumps(lot(n))
@@ -126,7 +126,7 @@
             return 1000, await self.to.shelf.append(unpack(body)), b""
 
     lines = types.SimpleNamespace(to=lambda addr: Connection(kept[int(addr)]))
-    crew = need("runtime", "Crew")(Quiet(), kept[0].ctr)
+    crew = need("runtime", "TaskGroup")(Quiet(), kept[0].ctr)
     members = {f"s{i}": {"state": "active", "addr": str(i), "zone": f"zone-{i:02d}"} for i in range(3)}
     quorum = need("jobs", "Quorum", "enough", "pick")(2)  # two machines may be lost: three copies
     copier = need("jobs", "Replicator", "put")(
--- a/archhatch/capacity/probes/made.py
+++ b/archhatch/capacity/probes/made.py
@@ -137,7 +137,7 @@
 
 def boot(folder: str | None = None, ip: str = "127.0.0.1"):
     """Settings of one node that founds a system of its own."""
-    return need("runtime.settings", "check_boot")(
+    return need("runtime.settings", "check_settings")(
         {
             "NodeName": "probe",
             "IpAddress": ip,
--- a/archhatch/capacity/probes/shares.py
+++ b/archhatch/capacity/probes/shares.py
@@ -23,7 +23,7 @@
     def __init__(self, replicas: int, places: int):
         frame = "runtime"
         head = {"lot": "a", "run": RUN, "host": "host3.example", "path": "/path3/x"}
-        self.lot = need("jobs", "read_lot")(head, orjson.dumps({**lot(2048, 64), "Model": MODEL}), 0.0)
+        self.lot = need("jobs", "read_job")(head, orjson.dumps({**lot(2048, 64), "Model": MODEL}), 0.0)
         self.lot.base = 0
         self.engines = need("rollout_controller", "Engines", "fold", "of", "count")()
         self.engines.fold([{**entry(i), "service": RUN, "models": {MODEL: 7}} for i in range(replicas)])
@@ -44,9 +44,9 @@
             life="x",
             reigns={RUN: self.reign},
             engines=self.engines,
-            plan=need("routing", "Plan")(plan(SERVICES)),
+            plan=need("routing", "RoutingTable")(plan(SERVICES)),
             clock=need(frame, "Clock")(),
-            board=need(frame, "Board")(),
+            board=need(frame, "StateBoard")(),
             news=types.SimpleNamespace(busy={}),
             ctr=self.ctr,
             beat_s=0.2,
@@ -56,7 +56,7 @@
             members=lambda: {n: {"state": "active"} for n in names},
             placement=need("region_policy.placement", "Placement")(),
         )
-        self.leader = need("share_group", "Leader", "fetch", "commit", "sync", "_wake", "_hand_out")(store)
+        self.leader = need("share_group", "PartitionLeader", "fetch", "commit", "sync", "_wake", "_hand_out")(store)
         self.names, self.places, self.polls = names, places, itertools.count(1)
 
     async def _list(self, lot, iid, doc) -> None:
@@ -181,7 +181,7 @@
 
 @probe("window.settle", "cpu", "acquire and accept the entries of a window", "entries", (50, 100, 200))
 async def _settle(n):
-    made = need("share_group", "Window", "append", "acquire", "settle")
+    made = need("share_group", "SharePartition", "append", "acquire", "settle")
 
     def fn():
         win = made("m", 1, 30.0, 200)
--- a/archhatch/capacity/reckon.py
+++ b/archhatch/capacity/reckon.py
@@ -6,7 +6,7 @@
 
 from .fit import Fit
 from .needs import need
-from .size import SizeFault
+from .size import SizeError
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
 
     def _fit(self, name: str) -> Fit:
         if name not in self.fits:
-            raise SizeFault(self.path, f"Fits.{name}", "is missing; run `archhatch capacity measure` again")
+            raise SizeError(self.path, f"Fits.{name}", "is missing; run `archhatch capacity measure` again")
         if name not in self.used:
             self.used.append(name)
         f = self.fits[name]
--- a/archhatch/capacity/size.py
+++ b/archhatch/capacity/size.py
@@ -73,10 +73,10 @@
 _RUN = ["beats_s", "beats_failed", "answers_s", "entries_s", "hollow_cpu"]
 
 
-class SizeFault(Exception):
+class SizeError(Exception):
     """A file that cannot be used; names it and the field.
 
-    >>> str(SizeFault("size.toml", "given.nodes", "is missing"))
+    >>> str(SizeError("size.toml", "given.nodes", "is missing"))
     'size.toml: given.nodes: is missing'
     """
 
@@ -166,7 +166,7 @@
     try:
         return schema.load(doc)
     except ValidationError as e:
-        raise SizeFault(path, *_first(e.messages)) from e
+        raise SizeError(path, *_first(e.messages)) from e
 
 
 def _read(path: str, parse):
@@ -174,9 +174,9 @@
         with open(path, "rb") as f:
             return parse(f.read().decode())
     except OSError as e:
-        raise SizeFault(path, "(file)", f"cannot be read: {e.strerror}") from e
+        raise SizeError(path, "(file)", f"cannot be read: {e.strerror}") from e
     except ValueError as e:
-        raise SizeFault(path, "(file)", f"is not sound: {e}") from e
+        raise SizeError(path, "(file)", f"is not sound: {e}") from e
 
 
 def read_size(path: str | None = None) -> SimpleNamespace:
@@ -194,7 +194,7 @@
     size.rows = [(k, name, val, why.get(name, "")) for k in ("given", "assumed") for name, val in doc[k].items()]
     size.edges = size.nodes - size.cores - size.stores
     if size.edges < 1:
-        raise SizeFault(path, "given.nodes", "leaves no edge beside the control nodes and stores")
+        raise SizeError(path, "given.nodes", "leaves no edge beside the control nodes and stores")
     return size
 
 
--- a/archhatch/cli/commands.py
+++ b/archhatch/cli/commands.py
@@ -12,7 +12,7 @@
 
 from absl import flags
 
-from ..runtime.settings import BootFault, read_boot
+from ..runtime.settings import SettingsError, read_settings
 from ..runtime.logs import open_logs
 
 FLAGS = flags.FLAGS
@@ -110,9 +110,9 @@
         if hup.is_set():
             hup.clear()
             try:
-                read_boot(FLAGS.settings)
+                read_settings(FLAGS.settings)
                 log.info("settings read again; what binds and where data lies changes at the next start")
-            except BootFault as e:
+            except SettingsError as e:
                 log.error("code 2001 {}; the old settings stay", e)
     await node.leave()
 
@@ -130,8 +130,8 @@
 
 def _boot():
     try:
-        return read_boot(FLAGS.settings)
-    except BootFault as e:
+        return read_settings(FLAGS.settings)
+    except SettingsError as e:
         print(f"archhatch: {e}", file=sys.stderr)
         return None
 
@@ -201,9 +201,9 @@
 
 @command("policy")
 def _policy(args) -> int:
-    from ..region_policy.client import PolicyDesk
+    from ..region_policy.client import PolicyClient
 
-    return PolicyDesk(FLAGS).run(args)
+    return PolicyClient(FLAGS).run(args)
 
 
 @command("evacuate")
@@ -215,21 +215,21 @@
 
 @command("duties")
 def _duties(args) -> int:
-    from ..singleton_roles.client import DutyClient
+    from ..singleton_roles.client import SingletonRoleClient
 
-    return DutyClient(FLAGS).run(args)
+    return SingletonRoleClient(FLAGS).run(args)
 
 
 @command("import")
 def _import(args) -> int:
-    from ..diagnostics.importer import Importer, ImportFault
+    from ..diagnostics.importer import Importer, ConfigImportError
 
     if len(args) != 1:
         print("archhatch: import takes one file of nginx", file=sys.stderr)
         return 2
     try:
         plan, notes = Importer(args[0]).read(FLAGS.revision)
-    except ImportFault as e:
+    except ConfigImportError as e:
         print(f"archhatch: {e}", file=sys.stderr)
         return 1
     for note in notes:
--- a/archhatch/consensus/__init__.py
+++ b/archhatch/consensus/__init__.py
@@ -2,8 +2,8 @@
 
 from .group import covers, majority, members
 from .acceptor import Acceptor
-from .proposal_number import Ballot
-from .proposer import Proposer, Unclear
+from .proposal_number import ProposalNumber
+from .proposer import Proposer, UnclearResultError
 from .commands import Commands
 
 __all__ = ["covers", "majority", "members", "Acceptor", "Ballot", "Proposer", "Unclear", "Commands"]
--- a/archhatch/consensus/acceptor.py
+++ b/archhatch/consensus/acceptor.py
@@ -11,27 +11,27 @@
 
 import orjson
 
-from .proposal_number import ZERO, Ballot
+from .proposal_number import ZERO, ProposalNumber
 
 
 class Acceptor:
     """One node's vote on one register.
 
-    >>> # acceptor = Acceptor("plan", log, counters); await acceptor.prepare(Ballot(1, "a", "life"))
+    >>> # acceptor = Acceptor("plan", log, counters); await acceptor.prepare(ProposalNumber(1, "a", "life"))
     """
 
     def __init__(self, part: str, book, counters):
         self.part, self.book, self.ctr = part, book, counters
-        self.promised: Ballot = ZERO
-        self.ballot: Ballot = ZERO
+        self.promised: ProposalNumber = ZERO
+        self.ballot: ProposalNumber = ZERO
         self.state: dict | None = None
         self.lock = asyncio.Lock()  # held from the decision on a request until its record is synced
 
     def adopt(self, rec: dict) -> None:
         """Take up a record read from the log; later records stand behind earlier ones."""
-        self.promised = max(self.promised, Ballot.read(rec["b"]))
+        self.promised = max(self.promised, ProposalNumber.read(rec["b"]))
         if rec.get("s") is not None:
-            self.ballot, self.state = Ballot.read(rec["ab"]), rec["s"]
+            self.ballot, self.state = ProposalNumber.read(rec["ab"]), rec["s"]
 
     def record(self) -> bytes:
         """All that this acceptor must not forget, as one record."""
@@ -44,7 +44,7 @@
 
     async def prepare(self, ballot) -> dict:
         """Promise to take nothing under a lower ballot; tells what was accepted."""
-        ballot = Ballot.read(ballot)
+        ballot = ProposalNumber.read(ballot)
         async with self.lock:
             if ballot < self.promised:
                 self.ctr.add("part.prepare_refused")
@@ -56,7 +56,7 @@
 
     async def accept(self, ballot, state: dict) -> dict:
         """Take a state unless a higher ballot was promised, or a later state of this ballot was taken."""
-        ballot = Ballot.read(ballot)
+        ballot = ProposalNumber.read(ballot)
         async with self.lock:
             if ballot < self.promised:
                 self.ctr.add("part.accept_refused")
@@ -77,11 +77,11 @@
 
         A promise that is on its way to the disk has not been told to anyone, so it need not be waited for.
         """
-        ok = Ballot.read(ballot) == self.promised
+        ok = ProposalNumber.read(ballot) == self.promised
         if not ok:
             self.ctr.add("part.confirm_refused")
         return {"ok": ok, "promised": self.promised.wire()}
 
 
-def _record(part: str, promised: Ballot, ballot: Ballot, state: dict | None) -> bytes:
+def _record(part: str, promised: ProposalNumber, ballot: ProposalNumber, state: dict | None) -> bytes:
     return orjson.dumps({"p": part, "b": promised.wire(), "ab": ballot.wire(), "s": state})
--- a/archhatch/consensus/proposal_number.py
+++ b/archhatch/consensus/proposal_number.py
@@ -8,15 +8,17 @@
 LIFE_BITS = 64
 
 
-class Ballot(NamedTuple):
+class ProposalNumber(NamedTuple):
     """Ordered by round, then by node, then by the life of the node's process.
 
     The life is drawn at random when a process starts. A proposer that restarts while its disk lagged behind what it
     had sent may choose a round that it used before; the ballot is still another one, so that no acceptor mistakes the
     new proposal for the old.
 
-    >>> Ballot(2, "a", "x") > Ballot(1, "b", "y"), Ballot.read([3, "a"]) == Ballot(3, "a", "")
-    (True, True)
+    >>> ProposalNumber(2, "a", "x") > ProposalNumber(1, "b", "y")
+    True
+    >>> ProposalNumber.read([3, "a"]) == ProposalNumber(3, "a", "")
+    True
     """
 
     round: int
@@ -24,7 +26,7 @@
     life: str = ""
 
     @classmethod
-    def read(cls, parts) -> Ballot:
+    def read(cls, parts) -> ProposalNumber:
         """A ballot as it stands in a message or a record; records of earlier releases name no life."""
         return cls(*parts)
 
@@ -33,13 +35,13 @@
         return list(self)
 
 
-ZERO = Ballot(0, "", "")
+ZERO = ProposalNumber(0, "", "")
 
 
-def new_life() -> str:
+def new_incarnation() -> str:
     """A name for this life of a process.
 
-    >>> len(new_life())
+    >>> len(new_incarnation())
     16
     """
     return f"{random.getrandbits(LIFE_BITS):016x}"
--- a/archhatch/consensus/proposer.py
+++ b/archhatch/consensus/proposer.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 
-from .proposal_number import ZERO, Ballot, new_life
+from .proposal_number import ZERO, ProposalNumber, new_incarnation
 from .group import covers, members
 
 TRIES = 3  # rounds under new ballots before the outcome is called unclear
@@ -15,7 +15,7 @@
 PAUSE = (0.02, 0.12)  # of the time for a round: the pause before a new ballot
 
 
-class Unclear(Exception):
+class UnclearResultError(Exception):
     """No majority answered: what was asked may have been taken, or not."""
 
 
@@ -43,7 +43,7 @@
 
     answers: dict = field(default_factory=dict)
     state: dict | None = None
-    ballot: Ballot = ZERO
+    ballot: ProposalNumber = ZERO
 
     def add(self, got: dict) -> None:
         """Fold in answers; the state under the highest ballot counts, of one ballot the latest."""
@@ -52,7 +52,7 @@
             state = answer["state"]
             if state is None:
                 continue
-            rank = (Ballot.read(answer["ballot"]), state["stamp"])
+            rank = (ProposalNumber.read(answer["ballot"]), state["stamp"])
             if self.state is None or rank > (self.ballot, self.state["stamp"]):
                 self.state, self.ballot = state, rank[0]
 
@@ -63,7 +63,7 @@
     ask(addr, verb, doc) calls another node (or this one) and gives its answer, or None. base() gives the newest state
     that this node has seen, to know whom to ask; least() the version that is known to be chosen.
 
-    >>> # code, doc = await proposer.do("plan.get", {}); raises Unclear
+    >>> # code, doc = await proposer.do("plan.get", {}); raises UnclearResultError
     """
 
     def __init__(self, part, me, commands, ask, base, publish, counters, secs=1.0, least=None, life=None):
@@ -71,8 +71,8 @@
         self._ask, self._base, self._publish, self.ctr = ask, base, publish, counters
         self._least = least or (lambda: 0)
         self.secs = secs
-        self.life = life or new_life()
-        self.lead: Ballot | None = None
+        self.life = life or new_incarnation()
+        self.lead: ProposalNumber | None = None
         self.state: dict | None = None
         self.settled = False
         self.top = 0
@@ -136,7 +136,7 @@
                 except Exception as e:
                     self.ctr.add("part.fault")
                     for job in jobs:
-                        job.fail(Unclear(f"{self.part}: {e!r}"))
+                        job.fail(UnclearResultError(f"{self.part}: {e!r}"))
 
     async def _hold(self) -> bool:
         for _ in range(TRIES):
@@ -164,7 +164,7 @@
                     if not job.done.done():
                         job.done.set_result(result)
         for job in jobs:
-            job.fail(Unclear(self.part))
+            job.fail(UnclearResultError(self.part))
 
     def _apply(self, jobs: list) -> tuple:
         """Run commands one behind the other: the value after them, the result of each, whether any changed it."""
@@ -222,7 +222,7 @@
         if base is None:
             return False
         self.top += 1
-        ballot = Ballot(self.top, self.me, self.life)
+        ballot = ProposalNumber(self.top, self.me, self.life)
         heard, group = _Heard(), base
         for _ in range(GROUP_STEPS):
             targets = {k: v for k, v in members(group).items() if k not in heard.answers}
@@ -241,7 +241,7 @@
             group = state
         return False
 
-    def _take_lead(self, ballot: Ballot, state: dict) -> bool:
+    def _take_lead(self, ballot: ProposalNumber, state: dict) -> bool:
         if state["stamp"] < self._least():
             self.ctr.add("part.older_than_chosen")  # these voters were left behind by a change of the group
             return False
--- a/archhatch/control/admin_api.py
+++ b/archhatch/control/admin_api.py
@@ -5,15 +5,15 @@
 import asyncio
 
 from ..consensus import majority
-from ..membership import part_of
-from ..runtime import fault_result, json_result
-from ..singleton_roles.admin import DutyDesk
+from ..membership import shard_of
+from ..runtime import error_result, json_result
+from ..singleton_roles.admin import SingletonRoleAdmin
 from ..rpc import Refusal
 from .api_requests import (
-    BadCall,
-    Beat,
+    InvalidRequestError,
+    HeartbeatRequest,
     GetPlan,
-    Leave,
+    DeregisterRequest,
     OnDuty,
     OnEvacuation,
     OnPolicy,
@@ -31,18 +31,18 @@
 UNCLEAR = 3000  # codes from here on say nothing final
 
 
-class Administration:
+class AdminApi:
     """Decodes a call into a command and runs it.
 
-    >>> # result = await Administration(node).answer(request, body)
+    >>> # result = await AdminApi(node).answer(request, body)
     """
 
     def __init__(self, node):
         self.node = node
-        self.duties = DutyDesk(node, PLAN)
+        self.duties = SingletonRoleAdmin(node, PLAN)
         self.calls = {
-            Beat: self.beat,
-            Leave: self.gone,
+            HeartbeatRequest: self.beat,
+            DeregisterRequest: self.gone,
             PutPlan: self._put_plan,
             GetPlan: self._get_plan,
             PutVersion: self._put_version,
@@ -57,21 +57,21 @@
         node = self.node
         try:
             command = decode(req.method, req.raw_path, req.headers, body)
-        except BadCall as e:
+        except InvalidRequestError as e:
             node.ctr.add(f"call.bad.{e.code}")
-            return fault_result(e.code, e.why)
+            return error_result(e.code, e.why)
         node.ctr.add("call." + type(command).__name__)
         if not node.serving():
             node.ctr.add("call.not_serving")
-            return fault_result(UNREACHED, after_s=node.quiet_s)
+            return error_result(UNREACHED, after_s=node.quiet_s)
         try:
             return await self.calls[type(command)](command)
         except Refusal as e:
-            return fault_result(e.code, after_s=node.quiet_s if e.code >= UNCLEAR else None)
+            return error_result(e.code, after_s=node.quiet_s if e.code >= UNCLEAR else None)
 
     # -- replicas
 
-    async def beat(self, command: Beat):
+    async def beat(self, command: HeartbeatRequest):
         """A heartbeat; `draining` is acknowledged once a majority has heard of it."""
         node, entry = self.node, command.entry
         turn = node.roll.turn
@@ -82,7 +82,7 @@
             await self._spread(entry)
         return json_result(1000, {})
 
-    async def gone(self, command: Leave):
+    async def gone(self, command: DeregisterRequest):
         """A replica ends."""
         node = self.node
         nameless = {
@@ -124,7 +124,7 @@
         code, doc = await self.node.registers.run(part, name, args)
         if code == 1000:
             return json_result(1000, doc)
-        return fault_result(code, str(doc), after_s=self.node.quiet_s if code >= UNCLEAR else None)
+        return error_result(code, str(doc), after_s=self.node.quiet_s if code >= UNCLEAR else None)
 
     async def _put_plan(self, command: PutPlan):
         return await self._run(PLAN, f"plan.{command.kind}", {"doc": command.doc, "match": command.match})
@@ -143,7 +143,7 @@
         return model
 
     async def _put_version(self, command: PutVersion):
-        part = part_of(self._service_of(command.model), OTHERS)
+        part = shard_of(self._service_of(command.model), OTHERS)
         return await self._run(part, "named.put", {"model": command.model, "rev": command.rev})
 
     async def _retire(self, command: Retire):
@@ -164,8 +164,8 @@
             # what the policy forbids is said first: with another target, the room is another question
             code, doc = await self.node.registers.run(PLAN, command.name, {**args, "dry_run": True})
             if code != DONE:
-                return fault_result(code, str(doc))
+                return error_result(code, str(doc))
             missing = self.node.evacuations.lacks(args["plan"], doc["RuleList"])
             if missing and doc["OperState"] == "planned":
-                return fault_result(NO_ROOM, "; ".join(missing))
+                return error_result(NO_ROOM, "; ".join(missing))
         return await self._run(PLAN, command.name, args)
--- a/archhatch/control/agreement.py
+++ b/archhatch/control/agreement.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from ..consensus import Acceptor, Proposer, Unclear, members
+from ..consensus import Acceptor, Proposer, UnclearResultError, members
 from ..membership import rank
 from ..rpc import CallError, Refusal
 from ..wal import LogError
@@ -177,7 +177,7 @@
         """Run a command with this node's own proposer: (code, document). Refusal 3003 if that stays unclear."""
         try:
             return await self.proposers[part].do(name, args, within)
-        except Unclear:
+        except UnclearResultError:
             raise Refusal(UNREACHED) from None
 
     async def run(self, part: str, name: str, args: dict):
--- a/archhatch/control/api_requests.py
+++ b/archhatch/control/api_requests.py
@@ -8,12 +8,12 @@
 
 import orjson
 
-from ..evacuation.plans import BadPlan, read_plan
+from ..evacuation.plans import InvalidPlanError, read_plan
 
 MOST_VERSION = 2**53 - 1  # the largest number that every JSON reader keeps exactly
 
 
-class BadCall(Exception):
+class InvalidRequestError(Exception):
     """A call that cannot be read; carries its numbered code."""
 
     def __init__(self, code: int, why: str = ""):
@@ -22,12 +22,12 @@
 
 
 @dataclass(slots=True)
-class Beat:
+class HeartbeatRequest:
     entry: dict
 
 
 @dataclass(slots=True)
-class Leave:
+class DeregisterRequest:
     iid: str
 
 
@@ -96,14 +96,14 @@
     try:
         doc = orjson.loads(body)
     except orjson.JSONDecodeError as e:
-        raise BadCall(code, str(e)) from e
+        raise InvalidRequestError(code, str(e)) from e
     if not isinstance(doc, dict):
-        raise BadCall(code, "must be one JSON object")
+        raise InvalidRequestError(code, "must be one JSON object")
     return doc
 
 
 def decode(method: str, path: str, heads, body: bytes):
-    """The command that a call asks for; BadCall if it cannot be read.
+    """The command that a call asks for; InvalidRequestError if it cannot be read.
 
     >>> decode("GET", "/api/config", {}, b"")
     GetPlan()
@@ -115,7 +115,7 @@
             if meth == method:
                 return fn(*(unquote(g) for g in hit.groups()), heads, body)
             other = True
-    raise BadCall(2010 if other else 2009)
+    raise InvalidRequestError(2010 if other else 2009)
 
 
 @call("PUT", r"/api/instances/([^/]+)")
@@ -125,17 +125,17 @@
         seq, slots, state = doc.get("Sequence", 0), doc.get("SlotCount", 1), doc["OperState"]
         addr, svc = doc["Address"], doc["Service"]
     except KeyError as e:
-        raise BadCall(2004, f"{e.args[0]} is missing") from e
+        raise InvalidRequestError(2004, f"{e.args[0]} is missing") from e
     if state not in ("up", "draining") or not isinstance(addr, str) or ":" not in addr or not isinstance(svc, str):
-        raise BadCall(2004, "OperState, Address or Service is wrong")
+        raise InvalidRequestError(2004, "OperState, Address or Service is wrong")
     if any(isinstance(n, bool) or not isinstance(n, int) or n < 0 for n in (seq, slots)):
-        raise BadCall(2004, "Sequence or SlotCount is wrong")
+        raise InvalidRequestError(2004, "Sequence or SlotCount is wrong")
     models = {}
     for m in doc.get("ModelList") or []:
         if not isinstance(m, dict) or not isinstance(m.get("Name"), str) or not isinstance(m.get("Revision", 1), int):
-            raise BadCall(2004, "ModelList is wrong")
+            raise InvalidRequestError(2004, "ModelList is wrong")
         models[m["Name"]] = m.get("Revision", 1)
-    return Beat(
+    return HeartbeatRequest(
         {
             "id": iid,
             "service": svc,
@@ -152,7 +152,7 @@
 
 @call("DELETE", r"/api/instances/([^/]+)")
 def _leave(iid, heads, body):
-    return Leave(iid)
+    return DeregisterRequest(iid)
 
 
 @call("PUT", r"/api/config")
@@ -170,7 +170,7 @@
     match = _match(heads, True)
     number = doc.get("Revision")
     if isinstance(number, bool) or not isinstance(number, int) or not 0 < number <= MOST_VERSION:
-        raise BadCall(2002, f"Revision: is missing or no number from 1 to {MOST_VERSION}")
+        raise InvalidRequestError(2002, f"Revision: is missing or no number from 1 to {MOST_VERSION}")
     return PutPlan(kind, doc, match)
 
 
@@ -183,7 +183,7 @@
 def _version(heads, body):
     doc = _doc(body)
     if not isinstance(doc.get("Model"), str) or not isinstance(doc.get("Revision"), int) or doc["Revision"] < 1:
-        raise BadCall(2001, "Model or Revision is wrong")
+        raise InvalidRequestError(2001, "Model or Revision is wrong")
     return PutVersion(doc["Model"], doc["Revision"])
 
 
@@ -203,7 +203,7 @@
         return None
     text = heads.get("If-Match", "").strip().strip('"')
     if not re.fullmatch(r"[0-9]{1,16}", text) or int(text) > MOST_VERSION:
-        raise BadCall(2015, f"must be a number up to {MOST_VERSION}")
+        raise InvalidRequestError(2015, f"must be a number up to {MOST_VERSION}")
     return int(text)
 
 
@@ -217,7 +217,7 @@
     try:
         return OnPolicy("policy.put", {"text": body.decode(), "match": _match(heads, True)})
     except UnicodeDecodeError as e:
-        raise BadCall(2101, "is not UTF-8") from e
+        raise InvalidRequestError(2101, "is not UTF-8") from e
 
 
 @call("GET", r"/api/regions")
@@ -230,7 +230,7 @@
     doc = _doc(body)
     state, why = doc.get("OperState"), doc.get("Reason")
     if state not in ("out", "in") or not isinstance(why, str) or not why.strip():
-        raise BadCall(2001, "OperState must be out or in, and Reason must say why")
+        raise InvalidRequestError(2001, "OperState must be out or in, and Reason must say why")
     return OnPolicy(
         "region.out" if state == "out" else "region.back",
         {"region": name, "rule": "*", "by": "operator", "reason": why[:200], "epoch": _match(heads, False)},
@@ -242,11 +242,11 @@
     doc = _doc(body, 2201)
     dry_run = doc.pop("DryRun", False)
     if not isinstance(dry_run, bool):
-        raise BadCall(2201, "DryRun: must be true or false")
+        raise InvalidRequestError(2201, "DryRun: must be true or false")
     try:
         return OnEvacuation("evacuation.plan", {"plan": read_plan(doc), "dry_run": dry_run})
-    except BadPlan as e:
-        raise BadCall(2201, str(e)) from None
+    except InvalidPlanError as e:
+        raise InvalidRequestError(2201, str(e)) from None
 
 
 @call("GET", r"/api/evacuations")
@@ -263,7 +263,7 @@
 def _order_evacuation(name, order, heads, body):
     why = _doc(body).get("Reason", "") if body else ""
     if not isinstance(why, str):
-        raise BadCall(2001, "Reason must be words")
+        raise InvalidRequestError(2001, "Reason must be words")
     return OnEvacuation(f"evacuation.{order}", {"id": name, "why": why[:200]})
 
 
--- a/archhatch/control/config_commands.py
+++ b/archhatch/control/config_commands.py
@@ -18,7 +18,7 @@
 
 from ..consensus import Commands
 from ..routing.patch import merge
-from ..routing.schemas import PlanFault, check_plan
+from ..routing.schemas import InvalidConfigError, check_config
 
 DONE, INVALID, NOT_HIGHER, OTHER_VERSION, NO_PLAN, UNSURE = 1000, 2002, 2005, 2011, 3001, 3004
 KEEP_TAKEN = 1024  # changes whose mark is kept
@@ -51,8 +51,8 @@
     if match < now or mark in val.get("refused", {}):
         return OTHER_VERSION, {"Revision": now}, False
     try:
-        doc = check_plan(build())
-    except PlanFault as e:
+        doc = check_config(build())
+    except InvalidConfigError as e:
         return INVALID, str(e), False
     if doc["Revision"] <= now:
         return NOT_HIGHER, {"Revision": now}, False
--- a/archhatch/control/handlers.py
+++ b/archhatch/control/handlers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..membership import part_of
+from ..membership import shard_of
 from ..rpc import Handlers, Refusal
 from .registers import OTHERS
 
@@ -56,7 +56,7 @@
             raise Refusal(UNREACHED)
         part = doc["part"]
         if part.startswith(ANY_SERVICE):
-            part = part_of(part.removeprefix(ANY_SERVICE), OTHERS)
+            part = shard_of(part.removeprefix(ANY_SERVICE), OTHERS)
         code, out = await node.registers.run(part, doc["name"], doc["args"])
         if code != 1000:
             raise Refusal(code, out)
--- a/archhatch/control/node.py
+++ b/archhatch/control/node.py
@@ -5,23 +5,23 @@
 import asyncio
 import random
 
-from ..region_policy.region_monitor import RegionDuty
+from ..region_policy.region_monitor import RegionMonitor
 from ..jobs import Quorum
-from ..http_server import Window
-from ..membership import LiveBook, Neighbours, Roll
+from ..http_server import HttpServer
+from ..membership import LiveRequests, PeerSet, ReplicaRegistry
 from ..membership.agreed_time import AgreedTime
-from ..evacuation.controller import EvacuationDuty
-from ..runtime import Board, Clock, Counters, Crew
+from ..evacuation.controller import EvacuationController
+from ..runtime import StateBoard, Clock, Counters, TaskGroup
 from ..rpc import CallError, Refusal, TcpNetwork
 from ..wal import WriteAheadLog
-from .admin_api import Administration
+from .admin_api import AdminApi
 from .agreement import Registers
 from .contact import MajorityContact, ServingGate
 from .feed import ConfigFeed
 from .handlers import register_handlers
 from .peers import Peers
 from .registers import PARTS, PLAN
-from .store_membership import StoreDuty
+from .store_membership import StoreMembershipController
 
 PING = 1 / 15  # of ContactMs: the pause between pings
 SILENT = 0.25  # of ContactMs: a node silent for so long is not counted on; proofs of contact are no older
@@ -43,8 +43,8 @@
         self.boot, self.log = boot, log
         self.clock = clock or Clock()
         self.ctr = Counters()
-        self.crew = Crew(log, self.ctr)
-        self.board = Board()
+        self.crew = TaskGroup(log, self.ctr)
+        self.board = StateBoard()
         network = network or TcpNetwork()
         self.lines = network.pool(self.ctr)
         self.book = WriteAheadLog(
@@ -64,10 +64,10 @@
         self.quiet_s = boot.secs("ContactMs", SILENT)
         self.started = self.clock.now()
         self.leaving = False
-        self.roll = Roll()
-        self.cores = Neighbours()
-        self.stores = Neighbours(step_s=self.beat_s * STORE_STEP)
-        self.live = LiveBook(boot.secs("ContactMs", 2 / 3))
+        self.roll = ReplicaRegistry()
+        self.cores = PeerSet()
+        self.stores = PeerSet(step_s=self.beat_s * STORE_STEP)
+        self.live = LiveRequests(boot.secs("ContactMs", 2 / 3))
         self.quorum = Quorum.of(boot)
         self.agreed_time = AgreedTime()
         self.contact = MajorityContact(self.quiet_s)
@@ -75,13 +75,13 @@
         self.registers = Registers(self)
         self.peers = Peers(self)
         self.feed = ConfigFeed(self)
-        self.store_duty = StoreDuty(self)
-        self.regions = RegionDuty(self, PLAN)
-        self.evacuations = EvacuationDuty(self, PLAN)
-        self.administration = Administration(self)
+        self.store_duty = StoreMembershipController(self)
+        self.regions = RegionMonitor(self, PLAN)
+        self.evacuations = EvacuationController(self, PLAN)
+        self.administration = AdminApi(self)
         self.verbs = register_handlers(self)
         self.desk = network.server(self.verbs, log, self.ctr, lambda: self.id)
-        self.window = Window(self.administration.answer, log, self.ctr)
+        self.window = HttpServer(self.administration.answer, log, self.ctr)
 
     # -- life
 
--- a/archhatch/control/peers.py
+++ b/archhatch/control/peers.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class PeerReport:
     """What one life of another control node has been told: the turns up to which it knows replicas and stores, and the
     control nodes that were named to it."""
 
@@ -21,7 +21,7 @@
     others: tuple = ()
 
 
-NOTHING_TOLD = Told("")
+NOTHING_TOLD = PeerReport("")
 
 
 class Peers:
@@ -32,7 +32,7 @@
 
     def __init__(self, node):
         self.node = node
-        self.told: dict[str, Told] = {}  # address -> what the node there has surely taken up
+        self.told: dict[str, PeerReport] = {}  # address -> what the node there has surely taken up
         self.leaving: set = set()  # nodes that said that they are about to end
         self._disk_fails_since: dict[str, float] = {}
         seeds = {f"{seed.rsplit(':', 1)[0]}:{node.boot.ports[0]}" for seed in node.boot.seeds}
@@ -234,6 +234,6 @@
         self.heed(out)
         node.serving()
         # one that started anew since was told the rest in another life: it is told all again
-        anew = out["lack"] or self.told.get(addr, Told(out["life"])).life != out["life"]
-        self.told[addr] = Told(out["life"]) if anew else Told(out["life"], turn, stores, others)
+        anew = out["lack"] or self.told.get(addr, PeerReport(out["life"])).life != out["life"]
+        self.told[addr] = PeerReport(out["life"]) if anew else PeerReport(out["life"], turn, stores, others)
         return True
--- a/archhatch/control/store_membership.py
+++ b/archhatch/control/store_membership.py
@@ -10,10 +10,10 @@
 ALONE = 0.9  # of SyncS: ... and for so long, if enough others are there anyway
 
 
-class StoreDuty:
+class StoreMembershipController:
     """Lets stores join, and has a silent one leave once others can do without it.
 
-    >>> # duty = StoreDuty(node); await duty.tend()
+    >>> # duty = StoreMembershipController(node); await duty.tend()
     """
 
     def __init__(self, node):
--- a/archhatch/data_plane/admission.py
+++ b/archhatch/data_plane/admission.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..runtime import Result, fault_result
+from ..runtime import Result, error_result
 from ..upstream.headers import KEY
 
 UNKNOWN_KEY, UNCONFIRMED = 2019, 3011
@@ -56,8 +56,8 @@
         if not confirmed:  # the key may belong to a configuration that has not come here
             return self._unconfirmed()
         self.counters.add("front.unknown_key")
-        return fault_result(UNKNOWN_KEY)
+        return error_result(UNKNOWN_KEY)
 
     def _unconfirmed(self) -> Result:
         self.counters.add("front.keys_unconfirmed")
-        return fault_result(UNCONFIRMED, after_s=self.bound_s * 0.1)
+        return error_result(UNCONFIRMED, after_s=self.bound_s * 0.1)
--- a/archhatch/data_plane/edge.py
+++ b/archhatch/data_plane/edge.py
@@ -7,19 +7,19 @@
 
 from transitions import Machine
 
-from ..http_server import Window
-from ..routing import Plan
-from ..membership import Newsreader
-from ..runtime import Board, Clock, Counters, Crew, Result, fault_result
-from ..upstream import Caller, Picker
+from ..http_server import HttpServer
+from ..routing import RoutingTable
+from ..membership import ConfigWatcher
+from ..runtime import StateBoard, Clock, Counters, TaskGroup, Result, error_result
+from ..upstream import UpstreamClient, LoadBalancer
 from ..rpc import CallError, ConnectionPool
 from ..upstream.headers import with_tenant
 from ..usage.counter import NAMESPACE as USAGE_DUTY
-from ..usage.counter import UsageTeller
+from ..usage.counter import UsageSender
 from .admission import Admission, Admitted
 from .forward import Forward
 from .live_requests import Live
-from .job_handlers import LotDesk
+from .job_handlers import JobHandlers
 from .store_proxies import StoreProxies
 from .relay import Relay
 
@@ -41,35 +41,35 @@
         self.boot, self.log, self.sock = boot, log, sock
         self.clock = clock or Clock()
         self.ctr = Counters()
-        self.crew = Crew(log, self.ctr)
-        self.board = Board()
+        self.crew = TaskGroup(log, self.ctr)
+        self.board = StateBoard()
         self.lines = ConnectionPool(self.ctr)
-        self.plan: Plan | None = None
+        self.plan: RoutingTable | None = None
         self.limits: dict = {}
         card = {"id": boot.node, "klass": "edge", "name": boot.node, "ip": boot.ip, "zone": boot.zone}
-        self.news = Newsreader(boot, card, self.lines, self.board, self.clock, self.ctr)
+        self.news = ConfigWatcher(boot, card, self.lines, self.board, self.clock, self.ctr)
         self.live = self.news.live = Live(self.board, self.clock, boot.secs("ContactMs", 1 / 3))
-        self.picker = Picker(boot.zone, boot.node, rest_s=boot.secs("ContactMs", 0.3), widen=0.5)
+        self.picker = LoadBalancer(boot.zone, boot.node, rest_s=boot.secs("ContactMs", 0.3), widen=0.5)
         self.placement, self.news.proved = self.picker.placement, self.picker.proved
         self.admission = Admission(boot, self.news, self.clock, self.ctr, boot.secs("ContactMs", 0.25))
         self.usage = None
         if boot.cloud is not None and USAGE_DUTY in boot.cloud.duties:
             process = f"{random.getrandbits(48):012x}"
-            self.usage = UsageTeller(boot, self.news, self.lines, self.clock, self.ctr, process)
+            self.usage = UsageSender(boot, self.news, self.lines, self.clock, self.ctr, process)
         self.life = Machine(
             self, states=["starting", "ready", "leaving"], initial="starting", transitions=MOVES, auto_transitions=False
         )
-        self.window = Window(self._front, log, self.ctr, self.limits, cancel_on_disconnect=True)
-        self.door = Window(self._readiness, log, self.ctr)
+        self.window = HttpServer(self._front, log, self.ctr, self.limits, cancel_on_disconnect=True)
+        self.door = HttpServer(self._readiness, log, self.ctr)
 
     async def start(self) -> None:
-        self.caller = Caller(counters=self.ctr)
+        self.caller = UpstreamClient(counters=self.ctr)
         self.picker.idle = self.caller.idle
         store_port, rest_s = self.boot.ports[0] + 1, self.boot.secs("ContactMs", 0.3)
         proxies = StoreProxies(self.news, self.lines, store_port, self.boot.zone, rest_s, self.ctr)
         self.forward = Forward(self.caller, self.picker, self.clock, self.ctr, self.live, proxies, self.usage)
         self.relay = Relay(self.caller, self.picker, self.clock, self.ctr, self.live, self.usage)
-        self.lots = LotDesk(self.boot, self.news, self.lines, self.ctr, self.clock)
+        self.lots = JobHandlers(self.boot, self.news, self.lines, self.ctr, self.clock)
         await self.door.open(self.boot.listen["Readiness"])
         await self.window.open(self.boot.listen["FrontHttp"], self.sock)
         self.crew.keep("news", self.news.run)
@@ -102,7 +102,7 @@
                 self.log.info("placement policy: {}", self.placement)
             doc = (self.news.parts.get("plan") or {}).get("plan")
             if doc is not None and (self.plan is None or doc["Revision"] > self.plan.stamp):
-                self.plan = self.news.plan = Plan(doc)
+                self.plan = self.news.plan = RoutingTable(doc)
                 self.limits.update(self.plan.limits)
                 self.log.info("configuration {} is in force", self.plan.stamp)
                 self.learned()
@@ -131,7 +131,7 @@
 
     async def _readiness(self, req, body):
         if req.raw_path.split("?")[0] != "/api/readiness":
-            return fault_result(2009)
+            return error_result(2009)
         return Result(200 if self.state == "ready" else 503)
 
     async def _front(self, req, body):
@@ -141,7 +141,7 @@
         plan = self.plan
         if plan is None:
             self.ctr.add("front.no_plan")
-            return fault_result(3001, after_s=self.boot.secs("ContactMs", 0.05))
+            return error_result(3001, after_s=self.boot.secs("ContactMs", 0.05))
         target = req.raw_path
         path = target.split("?", 1)[0]
         if path.startswith(("/api/lots/", "/api/items/")):
@@ -150,7 +150,7 @@
         lane = plan.lane(req.headers.get("Host", ""), path)
         if lane is None:
             self.ctr.add("front.no_lane")
-            return fault_result(2006)
+            return error_result(2006)
         self.ctr.add("front." + lane.kind)
         admitted = self.admission.check(plan, req.headers, lane.no_auth)
         if not isinstance(admitted, Admitted):
@@ -160,7 +160,7 @@
             heads = with_tenant(heads, admitted.tenant)
         if lane.kind in ("rollout", "batch"):
             if req.method != "POST":
-                return fault_result(2010)
+                return error_result(2010)
             return await self.lots.hand_in(req, lane, body, admitted.tenant)
         if lane.kind == "streaming":
             return await self.relay.run(req, lane, heads, body, admitted.tenant)
--- a/archhatch/data_plane/forward.py
+++ b/archhatch/data_plane/forward.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from ..runtime import Result, fault_result
+from ..runtime import Result, error_result
 from ..runtime.numbers import read_decimal
 from ..upstream import AGAIN, DEADLINE, ECHO, ONCE, PROMISES, Ran, pass_on
 
@@ -43,11 +43,11 @@
         began = self.clock.now()
         allowed_ms = read_decimal(req.headers.get(DEADLINE, "60000"))
         if allowed_ms is None:
-            return fault_result(2001, DEADLINE)
+            return error_result(2001, DEADLINE)
         end = began + min(allowed_ms / 1000, lane.timeout_s)
         rid = req.headers.get(ECHO, "")
         if not rid:
-            return fault_result(2001, f"{ECHO} is missing")
+            return error_result(2001, f"{ECHO} is missing")
         job = _Job(self, req.method, req.raw_path, heads, body, rid, lane, end, tenant)
         self.live.enter(job.service)
         try:
@@ -102,15 +102,15 @@
                     return res
                 next_at = 0.0
                 if self.may_have_run and not self.again:
-                    return self._pass(self.last) if self.last.ran is Ran.YES else fault_result(4001)
+                    return self._pass(self.last) if self.last.ran is Ran.YES else error_result(4001)
         had = bool(self.out)
         self._drop()
         if self.last is not None and self.last.ran is Ran.YES:
             return self._pass(self.last)
         if had or self.may_have_run:
-            return fault_result(4002 if had else 4001)
+            return error_result(4002 if had else 4001)
         self.fwd.ctr.add("front.refused")
-        return fault_result(self.fwd.picker.refusal(self.service, lane), after_s=min(0.25, lane.aim_s * 0.5))
+        return error_result(self.fwd.picker.refusal(self.service, lane), after_s=min(0.25, lane.aim_s * 0.5))
 
     def _send(self, line, now) -> None:
         """Send to a replica; a rare request for which no connection is warm goes by a store, once."""
@@ -242,5 +242,5 @@
         """A replica's answer to the client; a refusal without proof is not passed on, as it would be a promise."""
         if ans.status in PROMISES:
             self.fwd.ctr.add("front.no_proof")
-            return fault_result(4001)
+            return error_result(4001)
         return Result(ans.status, ans.body, pass_on(ans.heads))
--- a/archhatch/data_plane/job_handlers.py
+++ b/archhatch/data_plane/job_handlers.py
@@ -5,11 +5,11 @@
 import asyncio
 from urllib.parse import parse_qs, urlsplit
 
-from ..runtime import Result, fault_result
+from ..runtime import Result, error_result
 from ..runtime.numbers import read_count, read_decimal
 from ..upstream import ECHO
 from ..upstream.headers import HOLD
-from ..jobs import BadLot, Quorum, check_lot
+from ..jobs import InvalidJobError, Quorum, check_job
 from ..rpc import CallError
 
 NOT_TAKEN = {2008, 3001, 3005, 3008}  # refusals after which this very call has put nothing anywhere
@@ -17,7 +17,7 @@
 UNCLEAR_KEPT = 4096  # hand-ins without a clear outcome that are remembered
 
 
-class LotDesk:
+class JobHandlers:
     """Hands lots in, reads them, ends them.
 
     >>> # result = await desk.hand_in(request, lane, body, tenant)
@@ -49,10 +49,10 @@
         """Have a lot taken for a tenant; None where no key is asked for."""
         lid = req.headers.get(ECHO, "")
         try:
-            model = check_lot(lid, body)
-        except BadLot as e:
+            model = check_job(lid, body)
+        except InvalidJobError as e:
             self.ctr.add("lot.malformed")
-            return fault_result(2003, str(e))
+            return error_result(2003, str(e))
         run = self.news.plan.models().get(model, lane.split[0][0])
         head = {"lot": lid, "run": run, "host": req.headers.get("Host", ""), "path": req.raw_path}
         if tenant is not None:
@@ -69,7 +69,7 @@
         # a copy of this lot that went out earlier may still be taken, whatever the later ones met
         unclear = lid in self.unclear
         self.ctr.add("lot.unclear" if unclear else "lot.refused")
-        return fault_result(4003) if unclear else fault_result(3005, after_s=0.3)
+        return error_result(4003) if unclear else error_result(3005, after_s=0.3)
 
     async def _put(self, addr: str, lease: dict, head: dict, body: bytes, secs: float) -> Result | None:
         """Hand a lot to a run's holder; None if it did not take it, or did not say so."""
@@ -90,7 +90,7 @@
             self.unclear.pop(lid, None)
             return Result(202)
         if code == 2003:
-            return fault_result(2003, str(doc))
+            return error_result(2003, str(doc))
         if code == 2008:
             self.ctr.add("lot.other_life")
         if code not in NOT_TAKEN:
@@ -107,18 +107,18 @@
         query = parse_qs(urlsplit(target).query)
         if kind == "items":
             if req.method != "GET" or "InstanceId" not in query:
-                return fault_result(2010 if req.method != "GET" else 2001)
+                return error_result(2010 if req.method != "GET" else 2001)
             return await self._ask("lot.item", {"lot": lid, "item": query["InstanceId"][0]}, 0.0)
         if req.method == "DELETE":
             return await self._ask("lot.end", {"lot": lid}, 0.0)
         if req.method != "GET":
-            return fault_result(2010)
+            return error_result(2010)
         after = read_count(query.get("StartAfter", ["0"])[0])
         if after is None:
-            return fault_result(2001, "StartAfter")
+            return error_result(2001, "StartAfter")
         hold_ms = read_decimal(req.headers.get(HOLD, "0"))
         if hold_ms is None:
-            return fault_result(2001, HOLD)
+            return error_result(2001, HOLD)
         hold = min(hold_ms / 1000, LONGEST_HOLD_S)
         return await self._ask("lot.read", {"lot": lid, "after": after, "hold": hold}, hold)
 
@@ -150,12 +150,12 @@
                 kind = "application/json" if verb != "lot.item" else "application/octet-stream"
                 return Result(200, raw, [("Content-Type", kind)])
             if code == 2007 and out == "item":
-                return fault_result(2007)
+                return error_result(2007)
             unsure = unsure or code != 2007
         if unsure or not await self._nowhere(doc["lot"]):
             self.ctr.add("lot.not_sure")
-            return fault_result(3004, after_s=0.2)
-        return fault_result(2007)
+            return error_result(3004, after_s=0.2)
+        return error_result(2007)
 
     def _from_holder(self, sid: str, out: dict) -> bool:
         """Whether an answer comes from the store that was asked, under no older term than the newest one known."""
--- a/archhatch/data_plane/live_requests.py
+++ b/archhatch/data_plane/live_requests.py
@@ -8,8 +8,8 @@
 class Live:
     """enter() and leave() around each live request; tally() gives how many were under way on average since the last.
 
-    >>> from ..frame import Board, Clock
-    >>> v = Live(Board(), Clock(), 1.0); v.enter("s"); v.leave("s"); sorted(v.tally()), v.tally()
+    >>> from ..runtime import StateBoard, Clock
+    >>> v = Live(StateBoard(), Clock(), 1.0); v.enter("s"); v.leave("s"); sorted(v.tally()), v.tally()
     (['s'], {})
     """
 
--- a/archhatch/data_plane/relay.py
+++ b/archhatch/data_plane/relay.py
@@ -8,7 +8,7 @@
 import aiohttp
 from aiohttp.web_response import StreamResponse
 
-from ..runtime import Result, fault_result
+from ..runtime import Result, error_result
 from ..runtime.numbers import read_decimal
 from ..upstream import (
     AGAIN,
@@ -18,9 +18,9 @@
     PROMISES,
     SEAL,
     Answer,
-    NotSent,
+    NotSentError,
     Ran,
-    StaleConnection,
+    StaleConnectionError,
     belongs,
     has_end,
     pass_on,
@@ -30,7 +30,7 @@
 from ..upstream.headers import LAST_ID
 
 
-class BadAnswer(ValueError):
+class InvalidAnswerError(ValueError):
     """What came is not the answer of this request, or not all of it."""
 
 
@@ -60,10 +60,10 @@
         """Pass a stream on; what the client's connection is to send or, after the first event, has sent."""
         allowed_ms = read_decimal(req.headers.get(DEADLINE, "60000"))
         if allowed_ms is None:
-            return fault_result(2001, DEADLINE)
+            return error_result(2001, DEADLINE)
         rid = req.headers.get(ECHO, "")
         if not rid:
-            return fault_result(2001, f"{ECHO} is missing")
+            return error_result(2001, f"{ECHO} is missing")
         end = self.clock.now() + min(allowed_ms / 1000, lane.timeout_s)
         stream = _Stream(self, req, lane, heads, body, rid, end, tenant)
         self.live.enter(stream.service)
@@ -115,8 +115,8 @@
                 self.req.transport.abort()  # an answer that ends early must not look whole
             return self.out
         if self.may_have_run:
-            return fault_result(4001)
-        return fault_result(
+            return error_result(4001)
+        return error_result(
             self.relay.picker.refusal(self.service, self.lane), after_s=min(0.25, self.lane.aim_s * 0.5)
         )
 
@@ -145,13 +145,13 @@
         """Take up what one replica answers."""
         if not belongs(resp, self.rid, self.mode):
             resp.close()
-            raise BadAnswer("answer of another request")
+            raise InvalidAnswerError("answer of another request")
         if resp.status >= 300:
             return await self._take_whole(line, resp)
         self.may_have_run = True
         if SEAL not in resp.headers or "Content-Encoding" in resp.headers or not has_end(resp):
             resp.close()
-            raise BadAnswer("no seal, an encoding, or nothing that tells where it ends")
+            raise InvalidAnswerError("no seal, an encoding, or nothing that tells where it ends")
         if self.out is None:
             self.out = StreamResponse(status=resp.status, headers=pass_on(resp.headers.items()))
             self.out.enable_chunked_encoding()
@@ -166,7 +166,7 @@
         async for raw in resp.content.iter_any():
             for event in reader.feed(raw):
                 if resumed and not follows(self.last, event.id):
-                    raise BadAnswer("a stream that was resumed gives an event again")
+                    raise InvalidAnswerError("a stream that was resumed gives an event again")
                 self.last = event.id or self.last
                 self.events += 1
                 self._count()
@@ -174,7 +174,7 @@
                 if self._is_to_move(line):
                     raise Relocated(line.zone)
         if reader.rest:
-            raise BadAnswer("stream ended inside an event")
+            raise InvalidAnswerError("stream ended inside an event")
 
     def _count(self) -> None:
         """Count the request for its tenant's usage, at its first event."""
@@ -195,7 +195,7 @@
         self.may_have_run = self.may_have_run or not turned_away
         data = await resp.read()
         if not has_end(resp):
-            raise BadAnswer("nothing tells where its body ends")
+            raise InvalidAnswerError("nothing tells where its body ends")
         now = self.relay.clock.now()
         if turned_away:
             self.relay.picker.judge(line, Answer(Ran.NO, resp.status), now, 0.0, 1.0)
@@ -209,21 +209,21 @@
     def _whole_answer(self, resp, data: bytes) -> Result:
         if resp.status in PROMISES:  # it bears no proof, and passed on it would be a promise
             self.relay.ctr.add("front.no_proof")
-            return fault_result(4001)
+            return error_result(4001)
         return Result(resp.status, data, pass_on(resp.headers.items()))
 
     def _broke_off(self, line, fault: Exception) -> _After:
         """What a send that ended without a whole answer leaves."""
         if self.req.transport is None or self.req.transport.is_closing():
-            self.answer = fault_result(4001)  # it is the client that left
+            self.answer = error_result(4001)  # it is the client that left
             return _After.DONE
         unreached = isinstance(fault, (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError))
-        if not unreached and not isinstance(fault, NotSent):
+        if not unreached and not isinstance(fault, NotSentError):
             self.may_have_run = True
         if isinstance(fault, Relocated):
             self.relay.ctr.add("stream.moved_on")
             return _After.NEXT
-        if not isinstance(fault, (StaleConnection, NotSent)):
+        if not isinstance(fault, (StaleConnectionError, NotSentError)):
             self.relay.picker.note(line, "vanished" if unreached else "faulted", self.relay.clock.now())
         if self.may_have_run and not self.lane.resumable:
             return _After.STOP
--- a/archhatch/diagnostics/doctor.py
+++ b/archhatch/diagnostics/doctor.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from ..runtime import CODES, BootFault, Counters, read_boot
+from ..runtime import CODES, SettingsError, Counters, read_settings
 from ..wal import generation_number, read_records
 from ..rpc import CallError, ConnectionPool
 
@@ -59,8 +59,8 @@
 
     async def run(self) -> list[Finding]:
         try:
-            self.boot = read_boot(self.path)
-        except BootFault as e:
+            self.boot = read_settings(self.path)
+        except SettingsError as e:
             return [Finding(6001, e.field, str(e))]
         found: list[Finding] = []
         for fn in CHECKS:
--- a/archhatch/diagnostics/importer.py
+++ b/archhatch/diagnostics/importer.py
@@ -6,7 +6,7 @@
 
 import crossplane
 
-from ..routing.schemas import PlanFault, check_plan
+from ..routing.schemas import InvalidConfigError, check_config
 
 UNITS = {"ms": 1, "": 1000, "s": 1000, "m": 60_000, "h": 3_600_000}
 SIZES = {"": 1, "k": 1 << 10, "m": 1 << 20, "g": 1 << 30}
@@ -35,7 +35,7 @@
 }
 
 
-class ImportFault(Exception):
+class ConfigImportError(Exception):
     """A file that cannot be carried over at all."""
 
 
@@ -57,15 +57,15 @@
         try:
             doc = crossplane.parse(self.path, combine=True, check_ctx=False, check_args=False)
         except OSError as e:
-            raise ImportFault(f"{self.path}: {e.strerror}") from e
+            raise ConfigImportError(f"{self.path}: {e.strerror}") from e
         if doc["errors"]:
             bad = doc["errors"][0]
-            raise ImportFault(f"{bad.get('file', self.path)}:{bad.get('line') or 0}: {bad['error']}")
+            raise ConfigImportError(f"{bad.get('file', self.path)}:{bad.get('line') or 0}: {bad['error']}")
         rows = doc["config"][0]["parsed"]
         self._walk(rows, self._upstream)
         self._walk(rows, self._server)
         if not self.routes:
-            raise ImportFault(f"{self.path}: no route could be carried over")
+            raise ConfigImportError(f"{self.path}: no route could be carried over")
         plan = {
             "Revision": revision,
             "RouteTable": list(self.routes.values()),
@@ -74,9 +74,9 @@
         if self.limits:
             plan["Limits"] = self.limits
         try:
-            return check_plan(plan), self.notes
-        except PlanFault as e:
-            raise ImportFault(f"{self.path}: {e}") from e
+            return check_config(plan), self.notes
+        except InvalidConfigError as e:
+            raise ConfigImportError(f"{self.path}: {e}") from e
 
     def _walk(self, rows, fn) -> None:
         for row in rows:
--- a/archhatch/evacuation/__init__.py
+++ b/archhatch/evacuation/__init__.py
@@ -5,6 +5,6 @@
 control node that holds the lease, `client` is the command line.
 """
 
-from .record import Moves, State
+from .record import Moves, EvacuationState
 
 __all__ = ["Moves", "State"]  # all that an edge or a store needs
--- a/archhatch/evacuation/client.py
+++ b/archhatch/evacuation/client.py
@@ -9,9 +9,9 @@
 
 import orjson
 
-from ..region_policy.client import ControlPlane, DeskFault
-from ..runtime import BootFault, read_boot
-from .plans import BadPlan, read_plan
+from ..region_policy.client import ControlPlane, PolicyClientError
+from ..runtime import SettingsError, read_settings
+from .plans import InvalidPlanError, read_plan
 
 USE = """archhatch: evacuate: say one of
   evacuate plan FILE [--dry_run]    check a plan (TOML) and have it taken; --dry_run: only say what would be taken
@@ -46,18 +46,18 @@
             return 2
         try:
             return asyncio.run(command(*args[1:]))
-        except (BootFault, DeskFault) as e:
+        except (SettingsError, PolicyClientError) as e:
             print(f"archhatch: {e}", file=sys.stderr)
-        except BadPlan as e:
+        except InvalidPlanError as e:
             print(f"archhatch: evacuate: {args[1]}: {e}", file=sys.stderr)
         return 1
 
     async def _call(self, method: str, path: str, doc: dict | None = None) -> dict:
-        async with ControlPlane(read_boot(self.options.settings)) as control:
+        async with ControlPlane(read_settings(self.options.settings)) as control:
             body = None if doc is None else orjson.dumps(doc)
             status, answer = await control.call(method, f"/api/evacuations{path}", body)
         if status != 200:
-            raise DeskFault(f"code {answer.get('Error')} {answer.get('Says')}: {answer.get('Why')}")
+            raise PolicyClientError(f"code {answer.get('Error')} {answer.get('Says')}: {answer.get('Why')}")
         return answer
 
     async def _plan(self, path: str) -> int:
@@ -65,9 +65,9 @@
             with open(path, "rb") as file:
                 doc = tomllib.load(file)
         except OSError as e:
-            raise DeskFault(f"{path}: {e.strerror}") from e
+            raise PolicyClientError(f"{path}: {e.strerror}") from e
         except (tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
-            raise DeskFault(f"{path}: is not TOML: {e}") from e
+            raise PolicyClientError(f"{path}: is not TOML: {e}") from e
         plan = read_plan(doc)
         got = await self._call("POST", "", {**plan, "DryRun": bool(self.options.dry_run)})
         print("would be taken:" if self.options.dry_run else "taken:")
--- a/archhatch/evacuation/commands.py
+++ b/archhatch/evacuation/commands.py
@@ -11,7 +11,7 @@
 from ..control.leases import OTHER_TERM, held_under
 from ..control.store_commands import begun
 from .plans import mark
-from .record import BEFORE_MOVE, FINAL, STEPS, Place, State
+from .record import BEFORE_MOVE, FINAL, STEPS, Place, EvacuationState
 
 DUTY = "evacuation"
 DONE = 1000
@@ -26,7 +26,7 @@
 commands = Commands()
 
 
-def _log(record: dict, state: State, by: str, why: str) -> None:
+def _log(record: dict, state: EvacuationState, by: str, why: str) -> None:
     record["state"] = state
     record["log"] = (record["log"] + [[round(record["age_s"], 1), state, by, why]])[-KEEP_LOG:]
 
@@ -98,7 +98,7 @@
         "reports": {},
         "log": [],
     }
-    _log(record, State.PLANNED, OPERATOR, plan["Reason"])
+    _log(record, EvacuationState.PLANNED, OPERATOR, plan["Reason"])
     if not args.get("dry_run"):
         val.setdefault("evacuations", {})[plan["Id"]] = record
         _forget_old(val)
@@ -116,7 +116,7 @@
     record = val.get("evacuations", {}).get(args["id"])
     if record is None:
         return UNKNOWN, args["id"], False
-    state = State(record["state"])
+    state = EvacuationState(record["state"])
     if state in moves:
         record["reports"] = {}
         _log(record, moves[state], OPERATOR, args.get("why", ""))
@@ -129,8 +129,8 @@
 @commands.on("evacuation.start")
 def evacuation_start(val, args):
     """Begin with what was planned: {"id"}."""
-    done = frozenset(State) - {State.PLANNED, State.CANCELLED, State.FAILED}
-    return _by_operator(val, args, {State.PLANNED: State.ANNOUNCED}, done)
+    done = frozenset(EvacuationState) - {EvacuationState.PLANNED, EvacuationState.CANCELLED, EvacuationState.FAILED}
+    return _by_operator(val, args, {EvacuationState.PLANNED: EvacuationState.ANNOUNCED}, done)
 
 
 @commands.on("evacuation.cancel")
@@ -138,21 +138,23 @@
     """Give it up: {"id", "why"}. What is already moving goes home first; what has moved returns by another
     order."""
     record = val.get("evacuations", {}).get(args["id"])
-    moves = {state: State.CANCELLED for state in BEFORE_MOVE} | {State.MOVING: State.RETURNING}
-    done = {State.CANCELLED}
-    if record is not None and record.get("outcome") == State.CANCELLED:
-        done.add(State.RETURNING)
+    moves = {state: EvacuationState.CANCELLED for state in BEFORE_MOVE} | {
+        EvacuationState.MOVING: EvacuationState.RETURNING
+    }
+    done = {EvacuationState.CANCELLED}
+    if record is not None and record.get("outcome") == EvacuationState.CANCELLED:
+        done.add(EvacuationState.RETURNING)
     out = _by_operator(val, args, moves, frozenset(done))
-    if out[2] and record["state"] == State.RETURNING:
-        record["outcome"] = State.CANCELLED
+    if out[2] and record["state"] == EvacuationState.RETURNING:
+        record["outcome"] = EvacuationState.CANCELLED
     return out
 
 
 @commands.on("evacuation.return")
 def evacuation_return(val, args):
     """Bring the tenant home: {"id", "why"}."""
-    done = frozenset({State.RETURNING, State.RETURNED})
-    return _by_operator(val, args, {State.MOVED: State.RETURNING}, done)
+    done = frozenset({EvacuationState.RETURNING, EvacuationState.RETURNED})
+    return _by_operator(val, args, {EvacuationState.MOVED: EvacuationState.RETURNING}, done)
 
 
 @commands.on("evacuation.get")
@@ -184,14 +186,14 @@
     record, refusal = _held(val, args)
     if refusal is not None:
         return refusal
-    placed = STEPS.get((State(args["from"]), Place(args["placed"]), State(args["to"])))
+    placed = STEPS.get((EvacuationState(args["from"]), Place(args["placed"]), EvacuationState(args["to"])))
     if placed is None or (record["state"], record["placed"]) != (args["from"], args["placed"]):
         return WRONG_STATE, f"it is {record['state']}, placed in the {record['placed']}", False
     if record["placed"] != placed:
         record["reports"] = {}  # what the stores said of one place says nothing of the other
     record["placed"] = placed
     _count(record, args)
-    _log(record, State(args["to"]), f"term {args['term']}", args["why"])
+    _log(record, EvacuationState(args["to"]), f"term {args['term']}", args["why"])
     return DONE, view(record), True
 
 
--- a/archhatch/evacuation/controller.py
+++ b/archhatch/evacuation/controller.py
@@ -12,9 +12,9 @@
 from ..region_policy import Placement
 from ..jobs import active
 from ..control.store_commands import begun
-from ..routing import Plan
+from ..routing import RoutingTable
 from .commands import ACKNOWLEDGED, DUTY, FAILED, NO_KEY, TERM_OVER
-from .record import FINAL, Place, State
+from .record import FINAL, Place, EvacuationState
 from .target_capacity import Needs, lacks, unloaded
 
 PATIENCE = 1.0  # of ContactMs: room that is lacking for so long is taken to be lacking for good
@@ -22,10 +22,10 @@
 MOVE, BACK, GIVEN_UP = "move", "return", "cancelled"  # kinds of notices
 
 
-class EvacuationDuty:
+class EvacuationController:
     """run() drives records while there are any that are not over; without one it sleeps until the register changes.
 
-    >>> # duty = EvacuationDuty(node, "plan"); crew.keep("evacuation", duty.run)
+    >>> # duty = EvacuationController(node, "plan"); crew.keep("evacuation", duty.run)
     """
 
     def __init__(self, node, part: str):
@@ -56,7 +56,7 @@
     def _needs(self, rules: list) -> Needs:
         val = self._val()
         self.placement.fold(val)
-        return Needs.of(Plan(val["plan"]), self.placement, rules)
+        return Needs.of(RoutingTable(val["plan"]), self.placement, rules)
 
     def lacks(self, plan: dict, rules: list) -> list:
         """What a plan's target lacks now, in words."""
@@ -114,16 +114,16 @@
 
     async def _drive(self, name: str, record: dict, here_s: float) -> None:
         step = {
-            State.PLANNED: self._planned,
-            State.ANNOUNCED: self._announced,
-            State.PREPARING: self._preparing,
-            State.MOVING: self._moving,
-            State.RETURNING: self._returning,
-        }.get(State(record["state"]))
+            EvacuationState.PLANNED: self._planned,
+            EvacuationState.ANNOUNCED: self._announced,
+            EvacuationState.PREPARING: self._preparing,
+            EvacuationState.MOVING: self._moving,
+            EvacuationState.RETURNING: self._returning,
+        }.get(EvacuationState(record["state"]))
         if step is not None:
             await step(name, record, here_s)
 
-    async def _step(self, name: str, record: dict, to: State, why: str) -> None:
+    async def _step(self, name: str, record: dict, to: EvacuationState, why: str) -> None:
         args = {
             "id": name,
             "term": self._term,
@@ -156,12 +156,14 @@
 
     async def _planned(self, name, record, here_s) -> None:
         if self._late(name, record):
-            await self._step(name, record, State.FAILED, "it was not started before its deadline")
+            await self._step(name, record, EvacuationState.FAILED, "it was not started before its deadline")
 
     async def _announced(self, name, record, here_s) -> None:
         plan = record["plan"]
         if self._late(name, record):
-            await self._step(name, record, State.FAILED, f"its deadline passed; the notice: {record['notices']}")
+            await self._step(
+                name, record, EvacuationState.FAILED, f"its deadline passed; the notice: {record['notices']}"
+            )
             return
         if not self._told(name, record, MOVE, here_s):
             return
@@ -169,11 +171,13 @@
             return
         if await self._lacks_room(name, record):
             return
-        await self._step(name, record, State.PREPARING, f"notice: {record['notices'][MOVE]}")
+        await self._step(name, record, EvacuationState.PREPARING, f"notice: {record['notices'][MOVE]}")
 
     async def _preparing(self, name, record, here_s) -> None:
         if self._late(name, record):
-            await self._step(name, record, State.FAILED, f"its deadline passed; {self._waits_for(record, 'copied')}")
+            await self._step(
+                name, record, EvacuationState.FAILED, f"its deadline passed; {self._waits_for(record, 'copied')}"
+            )
             return
         if await self._lacks_room(name, record):
             return
@@ -181,7 +185,7 @@
         replicas = list(self.node.roll.all.values())
         cold = unloaded(needs, record["plan"]["Target"], self.placement.region_of, replicas, self._named())
         if not cold and not self._missing(record, "copied"):
-            await self._step(name, record, State.MOVING, "copies and weights are in the target")
+            await self._step(name, record, EvacuationState.MOVING, "copies and weights are in the target")
 
     async def _lacks_room(self, name: str, record: dict) -> bool:
         """Whether the target lacks room now; the evacuation fails once that has lasted.
@@ -194,21 +198,21 @@
             return False
         since = self._lacking_since.setdefault(name, now)
         if now - since >= self.node.boot.secs("ContactMs", PATIENCE):
-            await self._step(name, record, State.FAILED, "; ".join(missing))
+            await self._step(name, record, EvacuationState.FAILED, "; ".join(missing))
         return True
 
     async def _moving(self, name, record, here_s) -> None:
         if self._drained(record, here_s):
-            await self._step(name, record, State.MOVED, "nothing of it runs in the origin any more")
+            await self._step(name, record, EvacuationState.MOVED, "nothing of it runs in the origin any more")
 
     async def _returning(self, name, record, here_s) -> None:
-        given_up = record.get("outcome") == State.CANCELLED
+        given_up = record.get("outcome") == EvacuationState.CANCELLED
         if record["placed"] == Place.TARGET:
             told = self._told(name, record, GIVEN_UP if given_up else BACK, here_s)
             if (told or given_up) and not self._missing(record, "copied"):
-                await self._step(name, record, State.RETURNING, "copies are in the origin")
+                await self._step(name, record, EvacuationState.RETURNING, "copies are in the origin")
         elif self._drained(record, here_s):
-            to = State.CANCELLED if given_up else State.RETURNED
+            to = EvacuationState.CANCELLED if given_up else EvacuationState.RETURNED
             await self._step(name, record, to, "nothing of it runs in the target any more")
 
     # -- what it waits for
@@ -248,7 +252,7 @@
         return False
 
     async def _send(self, name: str, plan: dict, kind: str) -> None:
-        from .notices import NotAcknowledged, Notice  # a process that drives no evacuation needs no retry library
+        from .notices import NotAcknowledgedError, Notice  # a process that drives no evacuation needs no retry library
 
         node = self.node
         if not node.boot.notice_key:
@@ -263,7 +267,7 @@
         notice = Notice(plan["NoticeUrl"], node.boot.notice_key, doc, first_pause_s=node.beat_s)
         try:
             await notice.send(max(node.quiet_s, plan["NoticeTermS"]))
-        except NotAcknowledged as e:
+        except NotAcknowledgedError as e:
             node.ctr.add("notice.failed")
             node.log.warning("notice {} was not acknowledged: {}", notice.name, e)
             await self._note(name, kind, FAILED)
--- a/archhatch/evacuation/notices.py
+++ b/archhatch/evacuation/notices.py
@@ -18,7 +18,7 @@
 ANSWER_S = 5.0  # ... and a try waits so long for its answer
 
 
-class NotAcknowledged(Exception):
+class NotAcknowledgedError(Exception):
     """The tenant's address gave no 2xx."""
 
 
@@ -32,7 +32,7 @@
 
 
 class Notice:
-    """One notice; send() returns when it was acknowledged, or raises NotAcknowledged when its time is over.
+    """One notice; send() returns when it was acknowledged, or raises NotAcknowledgedError when its time is over.
 
     The tenant may get it more than once, always with the same id.
 
@@ -53,7 +53,7 @@
         """Try until it is acknowledged."""
         body = orjson.dumps(self.doc)
         heads = {"Content-Type": "application/json", ID: self.name, SIGNATURE: sign(self.key, body)}
-        failures = (aiohttp.ClientError, OSError, asyncio.TimeoutError, NotAcknowledged)
+        failures = (aiohttp.ClientError, OSError, asyncio.TimeoutError, NotAcknowledgedError)
         again = AsyncRetrying(
             retry=retry_if_exception_type(failures), wait=self._pause, stop=stop_after_delay(within_s)
         )
@@ -64,14 +64,14 @@
                     with attempt:
                         await self._try(session, body, heads)
             except RetryError as e:
-                raise NotAcknowledged(f"{self.tries} tries; the last: {e.last_attempt.exception()!r}") from None
+                raise NotAcknowledgedError(f"{self.tries} tries; the last: {e.last_attempt.exception()!r}") from None
 
     async def _try(self, session, body: bytes, heads: dict) -> None:
         self.tries += 1
         async with session.post(self.url, data=body, headers=heads, allow_redirects=False) as resp:
             await resp.read()
             if not 200 <= resp.status < 300:
-                raise NotAcknowledged(f"status {resp.status}")
+                raise NotAcknowledgedError(f"status {resp.status}")
 
     def _connector(self) -> aiohttp.TCPConnector:
         if not self.url.startswith("https:"):
--- a/archhatch/evacuation/plans.py
+++ b/archhatch/evacuation/plans.py
@@ -12,10 +12,10 @@
 WAITS = ("acknowledged", "term")
 
 
-class BadPlan(Exception):
+class InvalidPlanError(Exception):
     """A plan that cannot be used; says which field is wrong and why.
 
-    >>> str(BadPlan("Target: is missing"))
+    >>> str(InvalidPlanError("Target: is missing"))
     'Target: is missing'
     """
 
@@ -69,18 +69,18 @@
 
 
 def read_plan(doc: object) -> dict:
-    """The checked plan, with what was left out filled in; BadPlan names the first wrong field.
+    """The checked plan, with what was left out filled in; InvalidPlanError names the first wrong field.
 
     >>> read_plan({"Id": "e1", "Tenant": "t", "Origin": "a", "Target": "b", "NoticeUrl": "http://10.0.0.1/n"})["Room"]
     1.0
     """
     if not isinstance(doc, dict):
-        raise BadPlan("must be one object")
+        raise InvalidPlanError("must be one object")
     try:
         return _PLAN.load(doc)
     except ValidationError as e:
         field, why = sorted(e.normalized_messages().items())[0]
-        raise BadPlan(f"{field}: {why[0] if isinstance(why, list) else why}") from None
+        raise InvalidPlanError(f"{field}: {why[0] if isinstance(why, list) else why}") from None
 
 
 def mark(plan: dict) -> str:
--- a/archhatch/evacuation/record.py
+++ b/archhatch/evacuation/record.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 
-class State(enum.StrEnum):
+class EvacuationState(enum.StrEnum):
     """Where an evacuation stands."""
 
     PLANNED = "planned"
@@ -27,21 +27,21 @@
     TARGET = "target"
 
 
-FINAL = frozenset({State.RETURNED, State.CANCELLED, State.FAILED})
-BEFORE_MOVE = frozenset({State.PLANNED, State.ANNOUNCED, State.PREPARING})
+FINAL = frozenset({EvacuationState.RETURNED, EvacuationState.CANCELLED, EvacuationState.FAILED})
+BEFORE_MOVE = frozenset({EvacuationState.PLANNED, EvacuationState.ANNOUNCED, EvacuationState.PREPARING})
 
 # steps that the holder of the duty takes, beside those that an operator orders: from a state and a place to a state,
 # and where new requests go from then on
 STEPS = {
-    (State.PLANNED, Place.ORIGIN, State.FAILED): Place.ORIGIN,
-    (State.ANNOUNCED, Place.ORIGIN, State.PREPARING): Place.ORIGIN,
-    (State.ANNOUNCED, Place.ORIGIN, State.FAILED): Place.ORIGIN,
-    (State.PREPARING, Place.ORIGIN, State.MOVING): Place.TARGET,
-    (State.PREPARING, Place.ORIGIN, State.FAILED): Place.ORIGIN,
-    (State.MOVING, Place.TARGET, State.MOVED): Place.TARGET,
-    (State.RETURNING, Place.TARGET, State.RETURNING): Place.ORIGIN,  # the requests go home
-    (State.RETURNING, Place.ORIGIN, State.RETURNED): Place.ORIGIN,
-    (State.RETURNING, Place.ORIGIN, State.CANCELLED): Place.ORIGIN,
+    (EvacuationState.PLANNED, Place.ORIGIN, EvacuationState.FAILED): Place.ORIGIN,
+    (EvacuationState.ANNOUNCED, Place.ORIGIN, EvacuationState.PREPARING): Place.ORIGIN,
+    (EvacuationState.ANNOUNCED, Place.ORIGIN, EvacuationState.FAILED): Place.ORIGIN,
+    (EvacuationState.PREPARING, Place.ORIGIN, EvacuationState.MOVING): Place.TARGET,
+    (EvacuationState.PREPARING, Place.ORIGIN, EvacuationState.FAILED): Place.ORIGIN,
+    (EvacuationState.MOVING, Place.TARGET, EvacuationState.MOVED): Place.TARGET,
+    (EvacuationState.RETURNING, Place.TARGET, EvacuationState.RETURNING): Place.ORIGIN,  # the requests go home
+    (EvacuationState.RETURNING, Place.ORIGIN, EvacuationState.RETURNED): Place.ORIGIN,
+    (EvacuationState.RETURNING, Place.ORIGIN, EvacuationState.CANCELLED): Place.ORIGIN,
 }
 
 
@@ -58,7 +58,7 @@
     rules: frozenset
     origin: str
     target: str
-    state: State
+    state: EvacuationState
     placed: Place
 
     @classmethod
@@ -69,7 +69,7 @@
             frozenset(doc["rules"]),
             doc["origin"],
             doc["target"],
-            State(doc["state"]),
+            EvacuationState(doc["state"]),
             Place(doc["placed"]),
         )
 
@@ -81,14 +81,16 @@
     @property
     def copies_in(self) -> str | None:
         """The region that needs enough copies of the tenant's lots; None if none needs more than any other."""
-        if self.state in (State.PREPARING, State.MOVING, State.MOVED):
+        if self.state in (EvacuationState.PREPARING, EvacuationState.MOVING, EvacuationState.MOVED):
             return self.target
-        return self.origin if self.state is State.RETURNING else None
+        return self.origin if self.state is EvacuationState.RETURNING else None
 
     @property
     def settling(self) -> bool:
         """Whether work that runs where it should no longer run is to end or go on elsewhere."""
-        return self.state is State.MOVING or (self.state is State.RETURNING and self.placed is Place.ORIGIN)
+        return self.state is EvacuationState.MOVING or (
+            self.state is EvacuationState.RETURNING and self.placed is Place.ORIGIN
+        )
 
     @property
     def left(self) -> str:
--- a/archhatch/health/__init__.py
+++ b/archhatch/health/__init__.py
@@ -1,5 +1,5 @@
 """Replica health: outlier detection from the answers that requests get."""
 
-from .outlier_detection import Fitness, Peers
+from .outlier_detection import ReplicaHealth, PeerStatistics
 
 __all__ = ["Fitness", "Peers"]
--- a/archhatch/health/outlier_detection.py
+++ b/archhatch/health/outlier_detection.py
@@ -27,10 +27,10 @@
 # always late must not reach EJECT by that alone: it is used less, not thrown out
 
 
-class Peers:
+class PeerStatistics:
     """The replicas of one service together: how often they fail, and which of them are ejected.
 
-    >>> p = Peers(); a, b, c = (Fitness(p) for _ in range(3)); p.room(a), p.share(a, 0.0)
+    >>> p = PeerStatistics(); a, b, c = (ReplicaHealth(p) for _ in range(3)); p.room(a), p.share(a, 0.0)
     (True, 0.0)
     """
 
@@ -53,20 +53,20 @@
         self.out.discard(one)
 
 
-class Fitness:
+class ReplicaHealth:
     """fit: sends go there. doubtful: fewer, or after a rest a few as trials. resting: none until a while has passed.
 
     Results are weighed: one failure among many successes only raises the share of failures. Beats and health answers
     are hints, which never undo what results showed.
 
-    >>> f = Fitness(); f.note("faulted", 0.0, 1.0); f.note("faulted", 0.0, 1.0)
+    >>> f = ReplicaHealth(); f.note("faulted", 0.0, 1.0); f.note("faulted", 0.0, 1.0)
     'doubtful'
     'resting'
     """
 
     __slots__ = ("state", "until", "pause", "peers", "good", "bad", "at", "half_s", "trials", "__weakref__")
 
-    def __init__(self, peers: Peers | None = None):
+    def __init__(self, peers: PeerStatistics | None = None):
         self.state = "fit"
         self.until = 0.0
         self.pause = 0.0
@@ -80,7 +80,7 @@
     def share(self, now: float) -> float:
         """The share of failures, lately; the fewer and older the results, the less they say.
 
-        >>> Fitness().share(0.0)
+        >>> ReplicaHealth().share(0.0)
         0.0
         """
         if self.bad < 0.01:
@@ -152,7 +152,7 @@
     def hint(self) -> None:
         """It beats again after a silence: a first rest for want of contact ends, one for bad results does not.
 
-        >>> f = Fitness(); f.note("vanished", 0.0, 9.0); f.hint(); f.state
+        >>> f = ReplicaHealth(); f.note("vanished", 0.0, 9.0); f.hint(); f.state
         'resting'
         'doubtful'
         """
--- a/archhatch/http_server/server.py
+++ b/archhatch/http_server/server.py
@@ -15,7 +15,7 @@
 from aiohttp.web_response import Response, StreamResponse
 from aiohttp.web_server import Server
 
-from ..runtime import Result, fault_result
+from ..runtime import Result, error_result
 
 
 SLOW = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -42,12 +42,12 @@
         return _Guest(self, loop=self._loop, **self._kwargs)
 
 
-class Window:
+class HttpServer:
     """Serves handler(request, body) on an address; it gives a Result, or a stream that it wrote itself.
 
     cancel_on_disconnect: a handler whose client has closed the connection is cancelled.
 
-    >>> # win = Window(handler, log, ctr); await win.open("10.0.0.1:8144"); await win.close(grace_s=6)
+    >>> # win = HttpServer(handler, log, ctr); await win.open("10.0.0.1:8144"); await win.close(grace_s=6)
     """
 
     def __init__(self, handler, log, ctr, limits=None, cancel_on_disconnect=False):
@@ -113,13 +113,13 @@
                     await req.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
                 cap = self.limits.get("MaxHeaderBytes")
                 if cap is not None and sum(len(k) + len(v) + 4 for k, v in req.raw_headers) + len(req.raw_path) > cap:
-                    res = fault_result(2017)
+                    res = error_result(2017)
                     res.close = True
                     return await self._write(req, res)
                 body = await self._body(req)
                 res = await self.handler(req, body)
             except HTTPRequestEntityTooLarge:
-                res = fault_result(2012)
+                res = error_result(2012)
                 res.close = True
             if isinstance(res, StreamResponse):
                 return res
@@ -156,7 +156,7 @@
 class _Quiet:
     """aiohttp's own complaints become counters."""
 
-    def __init__(self, win: Window):
+    def __init__(self, win: HttpServer):
         self.win = win
 
     def debug(self, *a, **k):
--- a/archhatch/jobs/batch_job.py
+++ b/archhatch/jobs/batch_job.py
@@ -18,7 +18,7 @@
 PAGE_BYTES = 300_000  # of results that one answer holds: each is copied a few times on its way
 
 
-class BadLot(Exception):
+class InvalidJobError(Exception):
     """A lot that cannot be read: no item of it runs."""
 
 
@@ -36,7 +36,7 @@
 
 def _need(ok: bool, why: str) -> None:
     if not ok:
-        raise BadLot(why)
+        raise InvalidJobError(why)
 
 
 def _payload(val, where: str) -> None:
@@ -44,22 +44,22 @@
     try:
         base64.b64decode(val, validate=True)
     except (binascii.Error, ValueError) as e:
-        raise BadLot(f"{where}: Payload: {e}") from e
+        raise InvalidJobError(f"{where}: Payload: {e}") from e
 
 
-def check_lot(lid: str, body: bytes) -> str:
-    """The model of a lot whose bytes are whole and sound; BadLot otherwise.
+def check_job(lid: str, body: bytes) -> str:
+    """The model of a lot whose bytes are whole and sound; InvalidJobError otherwise.
 
-    >>> try: check_lot("a", b"{}")
-    ... except BadLot as e: print(e)
+    >>> try: check_job("a", b"{}")
+    ... except InvalidJobError as e: print(e)
     Model must be text
     """
     _need(bool(lid), "X-Archhatch-Request-Id is missing")
-    return parse_lot(body, strict=True).model
+    return parse_job(body, strict=True).model
 
 
 @dataclass(slots=True)
-class ParsedLot:
+class ParsedJob:
     """A lot's document, read field by field."""
 
     model: str
@@ -69,8 +69,8 @@
     items: dict  # item id -> Item, in their order
 
 
-def parse_lot(body: bytes, strict: bool) -> ParsedLot:
-    """Read a lot's document; BadLot names the first field that is wrong.
+def parse_job(body: bytes, strict: bool) -> ParsedJob:
+    """Read a lot's document; InvalidJobError names the first field that is wrong.
 
     strict: what would go to a replica as it stands (paths, headers, payloads) is checked as well. A lot that is read
     from a record was checked when it came in; what an earlier release took must still be readable.
@@ -78,7 +78,7 @@
     try:
         doc = orjson.loads(body)
     except orjson.JSONDecodeError as e:
-        raise BadLot(str(e)) from e
+        raise InvalidJobError(str(e)) from e
     _need(isinstance(doc, dict), "must be one JSON object")
     _need(isinstance(doc.get("Model"), str), "Model must be text")
     step, want, least = (_count(doc, name, name) for name in ("TrainStep", "DesiredCount", "MinRevision"))
@@ -89,7 +89,7 @@
         item = _item(row, n, strict)
         _need(item.iid not in items, f"Entries[{n}]: InstanceId is missing or twice")
         items[item.iid] = item
-    return ParsedLot(doc["Model"], step, want, least, items)
+    return ParsedJob(doc["Model"], step, want, least, items)
 
 
 def _item(row: object, n: int, strict: bool) -> Item:
@@ -140,7 +140,7 @@
 
 
 @dataclass
-class Lot:
+class BatchJob:
     """A lot in hand: items by id, results by position."""
 
     lid: str
@@ -181,10 +181,10 @@
         return rows, after + len(rows)
 
 
-def read_lot(head: dict, body: bytes, taken: float) -> Lot:
+def read_job(head: dict, body: bytes, taken: float) -> BatchJob:
     """A Lot from its record."""
-    doc = parse_lot(body, strict=False)
-    return Lot(
+    doc = parse_job(body, strict=False)
+    return BatchJob(
         head["lot"],
         head["run"],
         doc.model,
--- a/archhatch/jobs/replicator.py
+++ b/archhatch/jobs/replicator.py
@@ -11,7 +11,7 @@
 from .record import Record, pack_many
 
 
-class Deposed(Exception):
+class DeposedError(Exception):
     """Another holds the run under a higher term."""
 
 
@@ -80,7 +80,7 @@
                 self.ctr.add("copy.late")
 
     async def put(self, run: str, term: int, recs: list[Record]) -> None:
-        """Have enough stores sync the records; Deposed if a store knows a higher term. One that is slow to answer is
+        """Have enough stores sync the records; DeposedError if one knows a higher term. One that is slow to answer is
         not waited for: another is asked as well."""
         lid, first = recs[0].head["lot"], self.prefers(run)
         wait: dict[asyncio.Future, tuple] = {}
@@ -91,7 +91,7 @@
             if not lack:
                 return
             if self.shelf.promised.get(run, 0) > term:
-                raise Deposed(run)
+                raise DeposedError(run)
             jobs: dict[str, list] = {}
             for r in lack:
                 coming = {
@@ -115,7 +115,7 @@
                 sid, _ = wait.pop(t)
                 out = t.result()
                 if out is False:
-                    raise Deposed(run)
+                    raise DeposedError(run)
                 if out is None:
                     if sid not in slow:
                         self._shun({sid})
--- a/archhatch/membership/config_sources.py
+++ b/archhatch/membership/config_sources.py
@@ -24,10 +24,10 @@
     ended: set = field(default_factory=set)  # lives that newer ones followed
 
 
-class Sources:
+class ConfigSources:
     """Judges answers; says when a source is to be left, which is at most once each until all had their turn.
 
-    >>> s = Sources(1.0); s.heed("a", {"life": "x", "newest": {"plan": 3}}), s.judge({"plan": 5}, {}, {"plan": 3})
+    >>> s = ConfigSources(1.0); s.heed("a", {"life": "x", "newest": {"plan": 3}}), s.judge({"plan": 5}, {}, {"plan": 3})
     (True, <Verdict.BEHIND: 'behind'>)
     """
 
--- a/archhatch/membership/config_watcher.py
+++ b/archhatch/membership/config_watcher.py
@@ -8,17 +8,17 @@
 
 from ..rpc import CallError, is_misdirected
 from .delta import apply_all
-from .config_sources import Sources, Verdict
+from .config_sources import ConfigSources, Verdict
 
 NO_MAJORITY, NO_CONFIGURATION, DONE = 3003, 3001, 1000
 TIMES_KEPT = 4  # answers whose time of day is compared
 HURRY = 0.125  # of its usual time a question waits while a newer version is known to be out
 
 
-class Newsreader:
+class ConfigWatcher:
     """Keeps the newest parts and the roll in hand; never goes back in one life.
 
-    >>> # reader = Newsreader(boot, card, lines, board, clock, ctr); await reader.run()
+    >>> # reader = ConfigWatcher(boot, card, lines, board, clock, ctr); await reader.run()
     """
 
     def __init__(self, boot, card, lines, board, clock, ctr):
@@ -37,7 +37,7 @@
         self._failed = False  # whether the last question had no answer
         self.hold_s = boot.secs("ContactMs", 1 / 3)
         self.grace_s = boot.secs("ContactMs", 0.2)  # how much longer than the question waits an answer may take
-        self.sources = Sources(self.hold_s)
+        self.sources = ConfigSources(self.hold_s)
         self.at = 0
         self.mine: list = []
         self.plan = None
--- a/archhatch/membership/live_requests.py
+++ b/archhatch/membership/live_requests.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 
-class LiveBook:
+class LiveRequests:
     """Words of edges, and of other control nodes for the edges that speak to them; busy() sums those of the last
     window.
 
-    >>> b = LiveBook(2.0); b.put("e1", {"s": 2}, 10.0); b.put("e2", {"s": 1}, 11.0); b.busy(11.5), b.busy(12.5)
+    >>> b = LiveRequests(2.0); b.put("e1", {"s": 2}, 10.0); b.put("e2", {"s": 1}, 11.0); b.busy(11.5), b.busy(12.5)
     ({'s': 3}, {'s': 1})
     """
 
@@ -26,7 +26,7 @@
         """What the edges that speak to another control node have under way, all together; it replaces that node's last
         word.
 
-        >>> b = LiveBook(2.0); b.put_sum("c", {"s": 2}, 1.0); b.put_sum("c", {"t": 1}, 1.5); b.busy(2.0), b.own(2.0)
+        >>> b = LiveRequests(2.0); b.put_sum("c", {"s": 2}, 1.0); b.put_sum("c", {"t": 1}, 1.5); b.busy(2.0), b.own(2.0)
         ({'t': 1}, {})
         """
         if at >= self._sums.get(node, (float("-inf"), {}))[0]:
--- a/archhatch/membership/peer_set.py
+++ b/archhatch/membership/peer_set.py
@@ -5,13 +5,13 @@
 from .replica_registry import later
 
 
-class Neighbours:
+class PeerSet:
     """Cards of nodes by id: ip, name, zone, and the time they were last heard.
 
     A sighting is told on to others only if it is at least `step_s` later than the last one that was: two nodes that
     tell each other of a third one would else never come to rest.
 
-    >>> n = Neighbours(); n.hear({"id": "a", "ip": "1"}, 5.0); n.silent("a", 7.0)
+    >>> n = PeerSet(); n.hear({"id": "a", "ip": "1"}, 5.0); n.silent("a", 7.0)
     2.0
     """
 
@@ -52,7 +52,7 @@
         """What was heard after a turn, for one that was told all up to it: [card, seconds ago] each, with the id
         alone in place of a card that has not changed since.
 
-        >>> n = Neighbours(); n.hear({"id": "a"}, 5.0); first = n.since(0, 6.0); n.hear({"id": "a"}, 7.0)
+        >>> n = PeerSet(); n.hear({"id": "a"}, 5.0); first = n.since(0, 6.0); n.hear({"id": "a"}, 7.0)
         >>> first, n.since(1, 8.0), n.since(2, 8.0), n.since(n.turn, 8.0)
         ([[{'id': 'a'}, 1.0]], [['a', 1.0]], [['a', 1.0]], [])
         """
--- a/archhatch/membership/rendezvous.py
+++ b/archhatch/membership/rendezvous.py
@@ -23,10 +23,10 @@
     return rank(key, names)[:count]
 
 
-def part_of(service: str, parts: list) -> str:
+def shard_of(service: str, parts: list) -> str:
     """The part that holds a service's state.
 
-    >>> part_of("svc", ["p0"])
+    >>> shard_of("svc", ["p0"])
     'p0'
     """
     return pick(service, parts)[0]
--- a/archhatch/membership/replica_registry.py
+++ b/archhatch/membership/replica_registry.py
@@ -6,11 +6,12 @@
 RANK = {"up": 0, "draining": 1, "gone": 2}
 
 
-class Roll:
+class ReplicaRegistry:
     """Replicas by id, each with the turn of its last change that matters to others.
 
-    >>> r = Roll(); r.beat({"id": "a", "seq": 2, "state": "up"}, 0.0); r.beat({"id": "a", "seq": 1, "state": "up"}, 1.0)
+    >>> r = ReplicaRegistry(); r.beat({"id": "a", "seq": 2, "state": "up"}, 0.0)
     True
+    >>> r.beat({"id": "a", "seq": 1, "state": "up"}, 1.0)
     False
     """
 
@@ -68,7 +69,7 @@
     def since(self, turn: int) -> list[dict]:
         """Entries that changed after a turn, the oldest change first; costs by these, not by all.
 
-        >>> r = Roll(); r.since(0)
+        >>> r = ReplicaRegistry(); r.since(0)
         []
         """
         return [self.all[r] for r in later(self.turns, turn)]
@@ -78,7 +79,7 @@
 
         A beat that says nothing new is told as its id and number alone.
 
-        >>> r = Roll(); r.beats_since(0, 1.0)
+        >>> r = ReplicaRegistry(); r.beats_since(0, 1.0)
         []
         """
         out = []
@@ -93,7 +94,7 @@
     def whole(self, ent: dict) -> dict | None:
         """An entry told by another control node, with what its short form left out; None if that is not known here.
 
-        >>> r = Roll(); r.whole({"id": "a", "seq": 2}) is None
+        >>> r = ReplicaRegistry(); r.whole({"id": "a", "seq": 2}) is None
         True
         """
         if "state" in ent:
--- a/archhatch/platform_client/client.py
+++ b/archhatch/platform_client/client.py
@@ -9,10 +9,10 @@
 import aiohttp
 import orjson
 
-from ..singleton_roles.effect import EffectFailed
-from ..singleton_roles.lease import DutyCallFailed, StandingLease
+from ..singleton_roles.effect import EffectFailedError
+from ..singleton_roles.lease import RoleCallError, StandingLease
 from ..singleton_roles.state_machine import STALE_FENCE
-from ..upstream import NotSent
+from ..upstream import NotSentError
 
 HOLDER, FENCE = "X-Archhatch-Duty-Owner", "X-Archhatch-Fence-Token"
 CALL_S = 2.0  # how long the platform may take to answer
@@ -52,25 +52,25 @@
                 ) as response:
                     await response.read()
                     return self._judge(response.status)
-        except NotSent:
+        except NotSentError:
             return CallResult.NOT_SENT
         except (aiohttp.ClientError, OSError, asyncio.TimeoutError, ValueError):
             self.counters.add("platform.unanswered")
             return CallResult.AGAIN
 
     async def deliver(self, path: str, doc: dict, lease: StandingLease) -> str:
-        """Send a call again and again until it is taken, under a lease. EffectFailed if it never can be; DutyCallFailed
-        once the lease has ended."""
+        """Send a call again and again until it is taken, under a lease. EffectFailedError if it never can be;
+        RoleCallError once the lease has ended."""
         pause = PAUSE_S
         while lease.may_act():
             result = await self.post(path, doc, lease.tenancy.fence, lease.may_act)
             if result is CallResult.TAKEN:
                 return result.value
             if result is CallResult.REFUSED:
-                raise EffectFailed(f"{path}: the platform refused it")
+                raise EffectFailedError(f"{path}: the platform refused it")
             await asyncio.sleep(pause)
             pause = min(pause * 2, LONGEST_PAUSE_S)
-        raise DutyCallFailed(STALE_FENCE)
+        raise RoleCallError(STALE_FENCE)
 
     def _judge(self, status: int) -> CallResult:
         self.counters.add(f"platform.{status}")
--- a/archhatch/region_policy/client.py
+++ b/archhatch/region_policy/client.py
@@ -9,12 +9,12 @@
 import aiohttp
 import orjson
 
-from ..routing import Plan
-from ..routing.schemas import PlanFault, check_plan
-from ..runtime import Boot, BootFault, read_boot
+from ..routing import RoutingTable
+from ..routing.schemas import InvalidConfigError, check_config
+from ..runtime import Settings, SettingsError, read_settings
 from .explain import explain
 from .commands import policy_view
-from .errors import PolicyFault
+from .errors import PolicyError
 from .reader import read_policy
 
 USE = """archhatch: policy: say one of
@@ -27,7 +27,7 @@
   policy in REGION --reason=WHY     it is in again, for all rules"""
 
 
-class DeskFault(Exception):
+class PolicyClientError(Exception):
     """What keeps a command from being done: one line."""
 
 
@@ -39,7 +39,7 @@
 
     ROUNDS = 3
 
-    def __init__(self, boot: Boot):
+    def __init__(self, boot: Settings):
         self.boot = boot
 
     async def __aenter__(self):
@@ -61,7 +61,7 @@
                         why = f"{seed}: status {resp.status}"
                 except (aiohttp.ClientError, asyncio.TimeoutError, orjson.JSONDecodeError) as e:
                     why = f"{seed}: {e or type(e).__name__}"
-        raise DeskFault(f"no control node gives a clear answer; the last: {why}")
+        raise PolicyClientError(f"no control node gives a clear answer; the last: {why}")
 
 
 def _text(path: str) -> str:
@@ -69,22 +69,22 @@
         with open(path, encoding="utf-8") as f:
             return f.read()
     except OSError as e:
-        raise DeskFault(f"{path}: {e.strerror}") from e
+        raise PolicyClientError(f"{path}: {e.strerror}") from e
     except UnicodeDecodeError as e:
-        raise DeskFault(f"{path}:1: (file): is not UTF-8") from e
+        raise PolicyClientError(f"{path}:1: (file): is not UTF-8") from e
 
 
 def _good(got: tuple) -> dict:
     status, doc = got
     if status != 200:
-        raise DeskFault(f"code {doc.get('Error')} {doc.get('Says')}: {doc.get('Why')}")
+        raise PolicyClientError(f"code {doc.get('Error')} {doc.get('Says')}: {doc.get('Why')}")
     return doc
 
 
-class PolicyDesk:
+class PolicyClient:
     """Runs one command; its status: 0 done, 1 a fault, 2 wrong use.
 
-    >>> # status = PolicyDesk(FLAGS).run(["check", "policy.toml"])
+    >>> # status = PolicyClient(FLAGS).run(["check", "policy.toml"])
     """
 
     def __init__(self, opts):
@@ -107,17 +107,17 @@
             return 2
         try:
             return asyncio.run(fn(*args[1:]))
-        except BootFault as e:
+        except SettingsError as e:
             print(f"archhatch: {e}", file=sys.stderr)
-        except DeskFault as e:
+        except PolicyClientError as e:
             print(f"archhatch: policy: {e}", file=sys.stderr)
-        except PolicyFault as e:
+        except PolicyError as e:
             for row in e.faults:
                 print(row, file=sys.stderr)
         return 1
 
-    def _boot(self) -> Boot:
-        return read_boot(self.opts.settings)
+    def _boot(self) -> Settings:
+        return read_settings(self.opts.settings)
 
     async def _check(self, path: str) -> int:
         text, zones = _text(path), {}
@@ -184,7 +184,7 @@
         else:
             lane = plan.lane(opts.host, opts.path)
         if lane is None:
-            raise DeskFault("the configuration has no such route")
+            raise PolicyClientError("the configuration has no such route")
         for row in explain(val, lane, opts.regions_out or []):
             print(row)
         return 0
@@ -196,14 +196,14 @@
         zones = boot.zones if boot else {}
         if self.opts.plan:
             try:
-                plan = Plan(check_plan(orjson.loads(_text(self.opts.plan))))
-            except (orjson.JSONDecodeError, PlanFault) as e:
-                raise DeskFault(f"{self.opts.plan}: {e}") from e
+                plan = RoutingTable(check_config(orjson.loads(_text(self.opts.plan))))
+            except (orjson.JSONDecodeError, InvalidConfigError) as e:
+                raise PolicyClientError(f"{self.opts.plan}: {e}") from e
         val: dict = {}
         if not (text and self.opts.plan):
             async with ControlPlane(boot) as cp:
                 if not self.opts.plan:
-                    plan = Plan(_good(await cp.call("GET", "/api/config")))
+                    plan = RoutingTable(_good(await cp.call("GET", "/api/config")))
                 status, now = await cp.call("GET", "/api/policy")
                 if status == 200:
                     val = {"regions": _good(await cp.call("GET", "/api/regions"))["RegionTable"]}
--- a/archhatch/region_policy/commands.py
+++ b/archhatch/region_policy/commands.py
@@ -5,7 +5,7 @@
 import hashlib
 
 from ..consensus import Commands
-from .errors import PolicyFault
+from .errors import PolicyError
 from .placement import ALL
 from .reader import read_policy
 
@@ -33,7 +33,7 @@
     now, zones = old.get("version", 0), {**old.get("zones", {}), **args["zones"]}
     try:
         doc = read_policy(args["text"], known=set(zones.values()))
-    except PolicyFault as e:
+    except PolicyError as e:
         return 2101, str(e), False
     ver, mark = str(doc["version"]), digest(args["text"])
     if val.get("policy_taken", {}).get(ver) == mark:
--- a/archhatch/region_policy/errors.py
+++ b/archhatch/region_policy/errors.py
@@ -5,10 +5,10 @@
 import re
 
 
-class PolicyFault(Exception):
+class PolicyError(Exception):
     """An invalid policy; each fault is one line.
 
-    >>> str(PolicyFault(["p.toml:3: rule 1: regions: is empty"]))
+    >>> str(PolicyError(["p.toml:3: rule 1: regions: is empty"]))
     'p.toml:3: rule 1: regions: is empty'
     """
 
--- a/archhatch/region_policy/reader.py
+++ b/archhatch/region_policy/reader.py
@@ -8,7 +8,7 @@
 from marshmallow import Schema, ValidationError, fields, validate
 
 from ..routing.schemas import CLASSES
-from .errors import PolicyFault, locate, spell
+from .errors import PolicyError, locate, spell
 from .patterns import meet, plain
 from .policy import ALL, CLASS, NAME, PATTERN, PLACE
 
@@ -57,7 +57,7 @@
 
 
 def read_policy(text: str, where: str = "policy", known=()) -> dict:
-    """The checked policy of a TOML text, as plain data; PolicyFault names file, line and field of each fault.
+    """The checked policy of a TOML text, as plain data; PolicyError names file, line and field of each fault.
 
     known: the regions that there are; with none, any name passes.
 
@@ -66,13 +66,13 @@
     ['a']
     """
     if len(text.encode()) > MOST_BYTES:
-        raise PolicyFault([f"{where}:1: (file): is over {MOST_BYTES} bytes"])
+        raise PolicyError([f"{where}:1: (file): is over {MOST_BYTES} bytes"])
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as e:
         hit = re.search(r"line (\d+)", str(e))
         line = hit.group(1) if hit else max(1, len(text.splitlines()))
-        raise PolicyFault([f"{where}:{line}: (file): is not TOML: {e}"]) from e
+        raise PolicyError([f"{where}:{line}: (file): is not TOML: {e}"]) from e
     faults: list = []
     try:
         doc = _SCHEMA.load(raw)
@@ -82,7 +82,7 @@
         faults = list(_Whole(doc["rule"], set(known)).faults())
     if faults:
         lines = sorted((locate(text, path), spell(path), why) for path, why in faults)
-        raise PolicyFault([f"{where}:{n}: {field}: {why}" for n, field, why in lines])
+        raise PolicyError([f"{where}:{n}: {field}: {why}" for n, field, why in lines])
     return {"version": doc["version"], "rules": [_rule(r, doc["rule"]) for r in doc["rule"]]}
 
 
--- a/archhatch/region_policy/region_monitor.py
+++ b/archhatch/region_policy/region_monitor.py
@@ -5,15 +5,15 @@
 import asyncio
 import random
 
-from ..routing import Plan
+from ..routing import RoutingTable
 from .placement import Placement
 from .watch import RegionWatch
 
 
-class RegionDuty:
+class RegionMonitor:
     """run() watches while a policy is set; without one it sleeps until the plan part changes.
 
-    >>> # duty = RegionDuty(core, "plan"); crew.keep("regions", duty.run)
+    >>> # duty = RegionMonitor(core, "plan"); crew.keep("regions", duty.run)
     """
 
     def __init__(self, core, part: str):
@@ -22,7 +22,7 @@
         # a replica counts as silent after 2.5 of its beats, and a node after ContactMs
         self.watch = RegionWatch(max(boot.beat_ms / 1000 * 2.5, boot.secs("ContactMs")), boot.secs("ContactMs", 4))
         self.places = Placement()
-        self.plan: Plan | None = None
+        self.plan: RoutingTable | None = None
         self.served: dict[tuple, float] = {}  # (service, zone) -> when some node last had an answer from there
         self.last: float | None = None
 
@@ -61,7 +61,7 @@
         if self.watch.since < core.started:
             self.watch.begin(core.started)
         if self.plan is None or self.plan.stamp != val["plan"]["Revision"]:
-            self.plan = Plan(val["plan"])
+            self.plan = RoutingTable(val["plan"])
         self.places.fold(val)
         advice = self.watch.advise(self.places.policy, self.places.facts, self._services(), self._heard(), now)
         if core.owns(self.part):
--- a/archhatch/rollout_controller/engines.py
+++ b/archhatch/rollout_controller/engines.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from ..health import Fitness, Peers
+from ..health import ReplicaHealth, PeerStatistics
 
 
 @dataclass
@@ -26,7 +26,7 @@
     running: dict = field(default_factory=dict)  # model -> items under way
     pause_until: float = 0.0
     pace: float = 0.0  # seconds an event, lately
-    fitness: Fitness = field(default_factory=Fitness)
+    fitness: ReplicaHealth = field(default_factory=ReplicaHealth)
 
     def busy(self) -> int:
         return sum(self.running.values())
@@ -52,7 +52,7 @@
     def __init__(self):
         self.all: dict[str, Engine] = {}
         self.by_addr: dict[str, Engine] = {}
-        self.peers: dict[str, Peers] = {}
+        self.peers: dict[str, PeerStatistics] = {}
         self._listed: dict[str, list] = {}  # service -> its engines; made anew when `all` changed
         self._count = 0
 
@@ -70,8 +70,10 @@
                 old = self.by_addr.get(ent["addr"])
                 if old is not None:  # a new life at an address ends the one that was there
                     self._drop(old)
-                peers = self.peers.setdefault(ent["service"], Peers())
-                e = Engine(ent["id"], ent["addr"], ent["service"], ent["zone"], ent["slots"], fitness=Fitness(peers))
+                peers = self.peers.setdefault(ent["service"], PeerStatistics())
+                e = Engine(
+                    ent["id"], ent["addr"], ent["service"], ent["zone"], ent["slots"], fitness=ReplicaHealth(peers)
+                )
                 self.all[e.iid] = self.by_addr[e.addr] = e
                 self._listed.clear()
             e.draining = ent["state"] == "draining"
--- a/archhatch/rollout_controller/leadership_term.py
+++ b/archhatch/rollout_controller/leadership_term.py
@@ -8,12 +8,12 @@
 
 from transitions import Machine
 
-from ..jobs import Deposed, Lot, Record, read_lot
+from ..jobs import DeposedError, BatchJob, Record, read_job
 from ..jobs.record import unpack_many
 from ..runtime import encode_kept
 from ..rpc import CallError
 from ..store.heartbeat import Leading
-from .repair import Mending, place
+from .repair import RecordRepair, place
 from .takeover import ORDER, Takeover
 
 MOVES = [
@@ -22,16 +22,16 @@
 ]
 
 
-class Reign:
+class LeadershipTerm:
     """Begins by reading what so many stores hold of the run that no acknowledged record can be missed, then serves it
     until another's term is higher.
 
-    >>> # reign = Reign(store, "service", term); await reign.begin()
+    >>> # reign = LeadershipTerm(store, "service", term); await reign.begin()
     """
 
     def __init__(self, store, run: str, term: int):
         self.st, self.run, self.term = store, run, term
-        self.lots: dict[str, Lot] = {}
+        self.lots: dict[str, BatchJob] = {}
         self.order_from: dict[str, float] = {}  # replica -> when it may have orders of this holder
         self.began = store.clock.now()
         self.window_recs: list = []  # what the stores told of the partitions' windows
@@ -44,7 +44,7 @@
         self.offered: set = set()  # lots that were handed in under this term, whatever became of them
         self._progress_at = self.began
         self.ended_at = float("inf")
-        self.takeover, self.mending = Takeover(self), Mending(self)
+        self.takeover, self.mending = Takeover(self), RecordRepair(self)
 
     # -- taking over
 
@@ -53,7 +53,7 @@
         nothing."""
         try:
             await self._begin()
-        except Deposed:
+        except DeposedError:
             self.over()
         except Exception:
             self.over()
@@ -82,7 +82,7 @@
             self.st.ctr.add("reign.over")
             self.st.log.info("run {}: term {} is over", self.run, self.term)
             for task in self._copying.values():
-                task.cancel()  # nothing of this term is answered any more; its waiters are told Deposed
+                task.cancel()  # nothing of this term is answered any more; its waiters are told DeposedError
             for lid in self.lots:
                 self.st.board.touch(("lot", lid))
             self.st.board.touch("work")
@@ -118,7 +118,7 @@
 
     # -- copying: the reign's own tasks do it, so that it goes on whatever happens to those who wait
 
-    async def _copy(self, recs: list, lot: Lot | None) -> None:
+    async def _copy(self, recs: list, lot: BatchJob | None) -> None:
         """Have records copied; returns when enough stores have them. Whoever asks for the same waits for the same."""
         key = place(recs[0])
         task = self._copying.get(key)
@@ -126,12 +126,12 @@
             task = self._copying[key] = self.st.crew.once("records", self._copy_on, key, recs, lot)
         await asyncio.wait({task})  # unlike an await of the task, this leaves it running if the waiter is cancelled
         if task.cancelled() or task.result() is not True:
-            raise Deposed(self.run)
+            raise DeposedError(self.run)
 
-    async def _copy_on(self, key: tuple, recs: list, lot: Lot | None) -> bool:
+    async def _copy_on(self, key: tuple, recs: list, lot: BatchJob | None) -> bool:
         try:
             await self.st.copier.put(self.run, self.term, recs)
-        except Deposed:
+        except DeposedError:
             self.over()
             return False
         except Exception:
@@ -157,7 +157,7 @@
         """The places of all records that are being copied."""
         return set(self._copying)
 
-    def advance(self, lot: Lot) -> bool:
+    def advance(self, lot: BatchJob) -> bool:
         """List what has its copies, and all before it; whether there was any."""
         before = lot.listed
         while lot.listed < len(lot.results) and self.st.copier.enough(lot.results[lot.listed]):
@@ -174,7 +174,7 @@
             rec.head["tenant"] = head["tenant"]
         lot = None
         if place(rec) not in self._copying:
-            lot = read_lot(rec.head, body, self.st.clock.now())
+            lot = read_job(rec.head, body, self.st.clock.now())
             lot.base = rec.head["base"] = self._offsets(lot.model, lot.total)
             lot.recs.append(rec)
         await self._copy([rec], lot)
@@ -186,7 +186,7 @@
         return at
 
     async def note(self, rec) -> None:
-        """Have a record of a partition's window synced with its copies; Deposed if another leads."""
+        """Have a record of a partition's window synced with its copies; DeposedError if another leads."""
         await self.st.copier.put(self.run, self.term, [rec])
 
     async def intend(self, iid: str) -> float:
@@ -217,7 +217,7 @@
         if not self.st.copier.enough(rec):
             await self._copy([rec], lot)
 
-    async def list_result(self, lot: Lot, iid: str, doc: dict) -> None:
+    async def list_result(self, lot: BatchJob, iid: str, doc: dict) -> None:
         """Give an item its position; it is listed once enough stores hold it and all before it are."""
         if iid in lot.done or self.state != "holding" or lot.ended:
             return
--- a/archhatch/rollout_controller/load_concurrency.py
+++ b/archhatch/rollout_controller/load_concurrency.py
@@ -9,10 +9,10 @@
 LESS = 0.85  # ... and what stays of it when a load took longer
 
 
-class LoadRoom:
+class LoadConcurrencyLimit:
     """may(n) says whether one more may load beside n others; note() folds how long a load took.
 
-    >>> r = LoadRoom(0.3); r.resize(24); r.may(3), r.may(4)
+    >>> r = LoadConcurrencyLimit(0.3); r.resize(24); r.may(3), r.may(4)
     (True, False)
     """
 
--- a/archhatch/rollout_controller/load_limit.py
+++ b/archhatch/rollout_controller/load_limit.py
@@ -5,10 +5,10 @@
 import math
 
 
-class Lull:
+class LoadLimit:
     """Places by service, from the live requests that the news tells of.
 
-    >>> lull = Lull(); lull.heed({"s": 3.1}); lull.places("s", 12, 2), lull.places("t", 12, 2)
+    >>> lull = LoadLimit(); lull.heed({"s": 3.1}); lull.places("s", 12, 2), lull.places("t", 12, 2)
     (8, 12)
     """
 
--- a/archhatch/rollout_controller/repair.py
+++ b/archhatch/rollout_controller/repair.py
@@ -5,15 +5,15 @@
 
 import asyncio
 
-from ..jobs import Lot, Record, active
+from ..jobs import BatchJob, Record, active
 
 BURST = 1 << 18  # bytes of repair under way at a time: new records wait behind them
 
 
-class Mending:
+class RecordRepair:
     """Repair for one term of a run.
 
-    >>> # mending = Mending(reign); await mending.round(); mending.spared
+    >>> # mending = RecordRepair(reign); await mending.round(); mending.spared
     """
 
     def __init__(self, reign):
@@ -24,7 +24,7 @@
         self._up: dict = {}  # those in touch at that time
         self._older: set = set()  # copies under way since before the stores last changed, by place
 
-    def copied(self, lot: Lot, recs: list[Record]) -> None:
+    def copied(self, lot: BatchJob, recs: list[Record]) -> None:
         """Records came to enough stores; some of these may not stay."""
         self.thin += [(lot, rec) for rec in recs if not self.st.quorum.enough(rec.held, self._up)]
 
--- a/archhatch/rollout_controller/scoring.py
+++ b/archhatch/rollout_controller/scoring.py
@@ -8,7 +8,7 @@
 import itertools
 
 from ..upstream import AGAIN, ECHO, SEAL, Ran
-from .load_limit import Lull
+from .load_limit import LoadLimit
 
 
 LOOK = 64  # waiting calls that are looked at for one place
@@ -20,7 +20,7 @@
     >>> # scoring = Scoring(store, lull); crew.keep("scoring", scoring.run); seal = await scoring.score(work, key)
     """
 
-    def __init__(self, store, lull: Lull):
+    def __init__(self, store, lull: LoadLimit):
         self.st, self.lull = store, lull
         self.inbox: list = []
         self.count = itertools.count()
--- a/archhatch/rollout_controller/takeover.py
+++ b/archhatch/rollout_controller/takeover.py
@@ -6,7 +6,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from ..jobs import Deposed, Lot, Record, read_lot
+from ..jobs import DeposedError, BatchJob, Record, read_job
 
 ABREAST = 8  # lots that are adopted side by side
 ORDER = 1 / 6  # of LeaseMs: how long after its note an order may be sent
@@ -40,7 +40,7 @@
         # from here on no older holder's word ends the membership of a store that this gather counts on
         code, doc = await st.news.do("plan", "run.begin", {"run": reign.run, "term": reign.term})
         if code == 2018:
-            raise Deposed(reign.run)
+            raise DeposedError(reign.run)
         if code != 1000 or st.id not in doc["stores"]:
             return False
         self._addrs = {sid: st.addr_of(member) for sid, member in doc["stores"].items()}
@@ -57,7 +57,7 @@
         return await self._adopt_all({lid: said for lid, said in seen.items() if lid not in reign.pending})
 
     async def _ask_all(self, members: dict) -> dict | None:
-        """What the stores tell, this one among them; None if too few answered. Deposed if one knows a higher term."""
+        """What the stores tell, this one among them; None if too few answered. DeposedError if one knows more."""
         st, reign = self.st, self.reign
         told: dict[str, dict] = {}
         promise = {"run": reign.run, "term": reign.term}
@@ -80,7 +80,7 @@
                     if out is None:
                         continue
                     if not out["ok"]:
-                        raise Deposed(reign.run)
+                        raise DeposedError(reign.run)
                     told[tasks[task]] = out
                     self._note_heard(tasks[task])
         finally:
@@ -197,11 +197,11 @@
                 copies.results.setdefault(rec.head["pos"], rec)
         return True
 
-    def _rebuild(self, lid: str, seen: dict, chosen: list, copies: Copies) -> tuple[Lot, list]:
+    def _rebuild(self, lid: str, seen: dict, chosen: list, copies: Copies) -> tuple[BatchJob, list]:
         """The lot as this term lists it, and the records of it that too few stores hold."""
         st, reign = self.st, self.reign
         mine = st.shelf.lots.get(lid) or {}
-        lot = read_lot(copies.lot.head, copies.lot.body, mine.get("at", st.clock.now()))
+        lot = read_job(copies.lot.head, copies.lot.body, mine.get("at", st.clock.now()))
         lot.recs.append(Record(dict(copies.lot.head), copies.lot.body, {sid for sid, s in seen.items() if s["lot"]}))
         where = {sid: {tuple(row) for row in said["results"]} for sid, said in seen.items()}
         for pos, (term, item) in enumerate(chosen):
--- a/archhatch/rollout_controller/weight_orders.py
+++ b/archhatch/rollout_controller/weight_orders.py
@@ -10,9 +10,9 @@
 import aiohttp
 import orjson
 
-from ..jobs import Deposed
-from ..upstream import ECHO, SEAL, NotSent, says_not_run
-from .load_concurrency import LoadRoom
+from ..jobs import DeposedError
+from ..upstream import ECHO, SEAL, NotSentError, says_not_run
+from .load_concurrency import LoadConcurrencyLimit
 
 TURNED_AWAY = frozenset({400, 412, 421})  # answers which say that an order was not taken
 LAG_GAPS = 2  # a report may be so old
@@ -26,7 +26,7 @@
     MAYBE = "maybe"
 
 
-class ForeignAnswer(ValueError):
+class ForeignAnswerError(ValueError):
     """An answer that belongs to another request: an order bears no id, so its answer neither."""
 
 
@@ -45,15 +45,15 @@
         return self.passed
 
 
-class Orders:
+class WeightOrders:
     """Brings every engine to the newest named version, a few at a time.
 
-    >>> # orders = Orders(store); crew.keep("orders", orders.run)
+    >>> # orders = WeightOrders(store); crew.keep("orders", orders.run)
     """
 
     def __init__(self, store):
         self.st = store
-        self.room = LoadRoom(store.boot.secs("LeaseMs", 0.1))
+        self.room = LoadConcurrencyLimit(store.boot.secs("LeaseMs", 0.1))
         self.out = 0
         self.doubts: set = set()
 
@@ -144,7 +144,7 @@
                 return
             try:
                 until = await reign.intend(e.iid)
-            except Deposed:
+            except DeposedError:
                 reign.over()
                 return
             began = st.clock.now()
@@ -200,7 +200,7 @@
         st.ctr.add("order.send")
         try:
             status, not_run = await self._post(e, doc, gate)
-        except NotSent:
+        except NotSentError:
             st.ctr.add("order.too_late")
             return Taken.NO
         except (aiohttp.ClientError, OSError, asyncio.TimeoutError, ValueError):
@@ -233,7 +233,7 @@
         if resp.headers.get(ECHO) or SEAL in resp.headers or resp.status < 200:
             self.st.ctr.add("order.foreign_answer")
             resp.close()
-            raise ForeignAnswer(resp.headers.get(ECHO))
+            raise ForeignAnswerError(resp.headers.get(ECHO))
 
     async def _heed(self, run, e, target, status: int, not_run: bool) -> Taken:
         """What the answer to an order says."""
--- a/archhatch/routing/__init__.py
+++ b/archhatch/routing/__init__.py
@@ -4,6 +4,6 @@
 from there, so that nodes which only use a configuration do not load a schema library.
 """
 
-from .routes import Lane, Plan
+from .routes import Route, RoutingTable
 
 __all__ = ["Lane", "Plan"]
--- a/archhatch/routing/patch.py
+++ b/archhatch/routing/patch.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .schemas import PlanFault
+from .schemas import InvalidConfigError
 
 NAMED_TABLES = ("RouteTable", "ServiceTable", "TenantTable")  # lists of items that have a Name
 
@@ -16,20 +16,20 @@
     out = dict(plan)
     for key, val in change.items():
         if key not in ("Upsert", "Withdraw", "Revision"):
-            raise PlanFault(f"{key}: no such field of a change")
+            raise InvalidConfigError(f"{key}: no such field of a change")
     if "Revision" not in change:
-        raise PlanFault("Revision: is missing")
+        raise InvalidConfigError("Revision: is missing")
     out["Revision"] = change["Revision"]
     for table, names in _tables(change, "Withdraw"):
         if not all(isinstance(n, str) for n in names):
-            raise PlanFault(f"Withdraw.{table}: must list names")
+            raise InvalidConfigError(f"Withdraw.{table}: must list names")
         out[table] = [it for it in out.get(table, []) if it.get("Name") not in names]
     for table, items in _tables(change, "Upsert"):
         if table == "Limits":
             out["Limits"] = items
             continue
         if not all(isinstance(it, dict) and "Name" in it for it in items):
-            raise PlanFault(f"Upsert.{table}: must list items with names")
+            raise InvalidConfigError(f"Upsert.{table}: must list items with names")
         rows = {it["Name"]: it for it in out.get(table, [])}
         rows.update({it["Name"]: it for it in items})
         out[table] = list(rows.values())
@@ -39,8 +39,8 @@
 def _tables(change: dict, key: str):
     doc = change.get(key, {})
     if not isinstance(doc, dict):
-        raise PlanFault(f"{key}: must be an object")
+        raise InvalidConfigError(f"{key}: must be an object")
     for table, rows in doc.items():
         if table not in (*NAMED_TABLES, "Limits") or (table != "Limits" and not isinstance(rows, list)):
-            raise PlanFault(f"{key}.{table}: no such table")
+            raise InvalidConfigError(f"{key}.{table}: no such table")
         yield table, rows
--- a/archhatch/routing/routes.py
+++ b/archhatch/routing/routes.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lane:
+class Route:
     name: str
     host: str
     prefix: str
@@ -58,9 +58,9 @@
         return self.shares.next()
 
 
-def _lane(row: dict) -> Lane:
+def _lane(row: dict) -> Route:
     split = tuple((s["Service"], float(s["Weight"])) for s in row.get("TrafficSplit") or [] if s["Weight"] > 0)
-    return Lane(
+    return Route(
         name=row["Name"],
         host=row["HostName"].lower(),
         prefix=row["PathPrefix"],
@@ -79,10 +79,10 @@
     )
 
 
-class Plan:
+class RoutingTable:
     """A configuration made ready for look-ups.
 
-    >>> p = Plan({"Revision": 1, "RouteTable": [], "ServiceTable": []}); p.lane("a", "/b") is None
+    >>> p = RoutingTable({"Revision": 1, "RouteTable": [], "ServiceTable": []}); p.lane("a", "/b") is None
     True
     """
 
@@ -100,7 +100,7 @@
         for lanes in self._hosts.values():
             lanes.sort(key=lambda x: -len(x.prefix))
 
-    def lane(self, host: str, path: str) -> Lane | None:
+    def lane(self, host: str, path: str) -> Route | None:
         """The lane of a host and path: the longest prefix wins."""
         host = host.lower()
         lanes = self._hosts.get(host)
@@ -115,7 +115,7 @@
         """The name of the tenant that holds a key; costs one look-up, however many tenants there are.
 
         >>> tables = {"RouteTable": [], "ServiceTable": [], "TenantTable": [{"Name": "t", "ApiKeys": ["k"]}]}
-        >>> Plan({"Revision": 1, **tables}).tenant("k"), Plan({"Revision": 1, **tables}).tenant("")
+        >>> RoutingTable({"Revision": 1, **tables}).tenant("k"), RoutingTable({"Revision": 1, **tables}).tenant("")
         ('t', None)
         """
         return self._tenant_by_key.get(key)
@@ -128,7 +128,7 @@
     def lanes(self) -> list:
         """All lanes.
 
-        >>> Plan({"Revision": 1, "RouteTable": [], "ServiceTable": []}).lanes()
+        >>> RoutingTable({"Revision": 1, "RouteTable": [], "ServiceTable": []}).lanes()
         []
         """
         return [lane for lanes in self._hosts.values() for lane in lanes]
@@ -136,7 +136,7 @@
     def live_services(self) -> set:
         """Services to which lanes of live requests lead.
 
-        >>> Plan({"Revision": 1, "RouteTable": [], "ServiceTable": []}).live_services()
+        >>> RoutingTable({"Revision": 1, "RouteTable": [], "ServiceTable": []}).live_services()
         set()
         """
         return {
@@ -150,7 +150,7 @@
     def models(self) -> dict:
         """Each model's service.
 
-        >>> Plan({"Revision": 1, "RouteTable": [], "ServiceTable": []}).models()
+        >>> RoutingTable({"Revision": 1, "RouteTable": [], "ServiceTable": []}).models()
         {}
         """
         out = {}
--- a/archhatch/routing/schemas.py
+++ b/archhatch/routing/schemas.py
@@ -11,7 +11,7 @@
 TENANT_KEY = r"[\x21-\x7e]{1,512}\Z"
 
 
-class PlanFault(Exception):
+class InvalidConfigError(Exception):
     """An invalid configuration; says where and why."""
 
 
@@ -112,16 +112,16 @@
 _PLAN = PlanSchema()
 
 
-def check_plan(doc: object) -> dict:
-    """The document itself if it is a valid configuration; PlanFault if it is not.
+def check_config(doc: object) -> dict:
+    """The document itself if it is a valid configuration; InvalidConfigError if it is not.
 
-    >>> try: check_plan({"Revision": 1})
-    ... except PlanFault as e: "RouteTable" in str(e)
+    >>> try: check_config({"Revision": 1})
+    ... except InvalidConfigError as e: "RouteTable" in str(e)
     True
     """
     if not isinstance(doc, dict):
-        raise PlanFault("must be one JSON object")
+        raise InvalidConfigError("must be one JSON object")
     bad = _PLAN.validate(doc)
     if bad:
-        raise PlanFault(str(bad))
+        raise InvalidConfigError(str(bad))
     return doc
--- a/archhatch/rpc/channel.py
+++ b/archhatch/rpc/channel.py
@@ -4,12 +4,12 @@
 
 import asyncio
 
-from .framing import FrameFault, read_frame
+from .framing import FrameError, read_frame
 from .messages import Envelope
 from .pending import PendingCalls
 
 
-class ChannelEnded(Exception):
+class ChannelClosedError(Exception):
     """The connection ended while a call waited on it."""
 
 
@@ -53,13 +53,13 @@
         self._task.cancel()
         for future in self._pending.drain():
             if not future.done():
-                future.set_exception(ChannelEnded())
+                future.set_exception(ChannelClosedError())
 
     async def _read(self, reader: asyncio.StreamReader) -> None:
         try:
             while not self._ended:
                 self._answer(await read_frame(reader))
-        except FrameFault:
+        except FrameError:
             self.counters.add("rpc.bad_answer")
         except (OSError, EOFError):
             pass
--- a/archhatch/rpc/connection.py
+++ b/archhatch/rpc/connection.py
@@ -6,8 +6,8 @@
 
 import orjson
 
-from .channel import Channel, ChannelEnded
-from .framing import FrameFault, pack, tune
+from .channel import Channel, ChannelClosedError
+from .framing import FrameError, pack, tune
 from .messages import Envelope
 
 MOST_WITHIN_MS = 0xFFFFFFFF
@@ -68,9 +68,9 @@
             frame = pack(Envelope(call=key, verb=verb, head=orjson.dumps(doc), body=body, to=to, within_ms=within_ms))
             channel.write(frame)
             answer = await self._wait(channel, future, verb, secs)
-        except FrameFault as e:
+        except FrameError as e:
             raise CallError(f"{self.addr}: {verb}: {e}", sent=False) from e
-        except (ChannelEnded, OSError, RuntimeError) as e:
+        except (ChannelClosedError, OSError, RuntimeError) as e:
             raise CallError(f"{self.addr}: {verb}: broke off: {e!r}", sent=True) from e
         finally:
             channel.forget(key)
@@ -99,7 +99,7 @@
 class ConnectionPool:
     """The connections of a process, one for each address.
 
-    >>> from ..frame import Counters
+    >>> from ..runtime import Counters
     >>> pool = ConnectionPool(Counters()); pool.to("10.0.0.1:7380") is pool.to("10.0.0.1:7380")
     True
     """
--- a/archhatch/rpc/framing.py
+++ b/archhatch/rpc/framing.py
@@ -15,12 +15,12 @@
 WORTH = 1024  # bytes of a body from which deflating it is tried
 
 
-class FrameFault(Exception):
+class FrameError(Exception):
     """Bytes that are no frame: the connection ends, its neighbours do not notice."""
 
 
 def pack(env: Envelope) -> bytes:
-    """An envelope as a frame; FrameFault if it is longer than the other side would take.
+    """An envelope as a frame; FrameError if it is longer than the other side would take.
 
     >>> len(pack(Envelope(call=1)))
     10
@@ -31,27 +31,27 @@
             env = replace(env, body=small, packed=True)
     raw = bytes(env)
     if len(raw) > MAX_FRAME:
-        raise FrameFault(f"frame of {len(raw)} bytes")
+        raise FrameError(f"frame of {len(raw)} bytes")
     return _HEAD.pack(len(raw), zlib.crc32(raw)) + raw
 
 
 async def read_frame(rd: asyncio.StreamReader) -> Envelope:
-    """The next envelope from a stream; FrameFault if it is damaged."""
+    """The next envelope from a stream; FrameError if it is damaged."""
     size, crc = _HEAD.unpack(await rd.readexactly(8))
     if size > MAX_FRAME:
-        raise FrameFault(f"frame of {size} bytes")
+        raise FrameError(f"frame of {size} bytes")
     raw = await rd.readexactly(size)
     if zlib.crc32(raw) != crc:
-        raise FrameFault("checksum differs")
+        raise FrameError("checksum differs")
     try:
         env = Envelope().parse(raw)
         if env.packed:
             env.body, env.packed = _inflate(env.body), False
         return env
-    except FrameFault:
+    except FrameError:
         raise
     except Exception as e:
-        raise FrameFault(f"no envelope: {e!r}") from e
+        raise FrameError(f"no envelope: {e!r}") from e
 
 
 def _inflate(raw: bytes) -> bytes:
@@ -59,7 +59,7 @@
     job = zlib.decompressobj()
     out = job.decompress(raw, MAX_FRAME)
     if job.unconsumed_tail or not job.eof:
-        raise FrameFault("deflated body is cut or too long")
+        raise FrameError("deflated body is cut or too long")
     return out
 
 
--- a/archhatch/rpc/network.py
+++ b/archhatch/rpc/network.py
@@ -22,7 +22,7 @@
 class TcpNetwork:
     """Connections over TCP.
 
-    >>> from ..frame import Counters
+    >>> from ..runtime import Counters
     >>> TcpNetwork().pool(Counters()).to("10.0.0.1:7380").addr
     '10.0.0.1:7380'
     """
--- a/archhatch/rpc/server.py
+++ b/archhatch/rpc/server.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from .framing import FrameFault, pack, read_frame, tune
+from .framing import FrameError, pack, read_frame, tune
 from .messages import Envelope
 
 OK, BAD_CALL, NOT_THIS_NODE, NO_SUCH_CALL, FAULT = 1000, 2001, 2008, 2009, 5001
@@ -106,7 +106,7 @@
                 task = asyncio.get_running_loop().create_task(self._run(call, writer, self.now()))
                 self._calls.add(task)
                 task.add_done_callback(self._calls.discard)
-        except FrameFault as e:
+        except FrameError as e:
             self.counters.add("rpc.bad_frame")
             self.log.warning("a connection between nodes brought no frame: {}", e)
         except (OSError, EOFError, asyncio.CancelledError):
@@ -132,7 +132,7 @@
         head = doc if isinstance(doc, bytes) else orjson.dumps(doc)  # a handler may bring them ready
         try:
             return pack(Envelope(call=call.call, code=code, head=head, body=body))
-        except FrameFault as e:
+        except FrameError as e:
             self.counters.add("rpc.fault")
             self.log.error("the answer to {} is too long: {}", call.verb, e)
             return pack(Envelope(call=call.call, code=FAULT, head=orjson.dumps(str(e))))
--- a/archhatch/runtime/__init__.py
+++ b/archhatch/runtime/__init__.py
@@ -1,14 +1,14 @@
 """What every process stands on: boot settings, logs, counters, the blackboard and the event journal."""
 
-from .settings import Boot, BootFault, read_boot
-from .state_board import Board
-from .result_codes import CODES, Result, fault_result, json_result
+from .settings import Settings, SettingsError, read_settings
+from .state_board import StateBoard
+from .result_codes import CODES, Result, error_result, json_result
 from .clock import Clock
 from .counters import Counters
 from .events import Journal, View
 from .document_encoding import encode_kept
 from .logs import open_logs
-from .task_group import Crew
+from .task_group import TaskGroup
 
 __all__ = [
     "Boot",
--- a/archhatch/runtime/result_codes.py
+++ b/archhatch/runtime/result_codes.py
@@ -98,10 +98,10 @@
     return Result(CODES[code][0], orjson.dumps(doc), [("Content-Type", "application/json")] + (head or []))
 
 
-def fault_result(code: int, why: str = "", after_s: float | None = None) -> Result:
+def error_result(code: int, why: str = "", after_s: float | None = None) -> Result:
     """A Result for a fault: its number, its words and, where it promises, when to come back.
 
-    >>> fault_result(2006).status
+    >>> error_result(2006).status
     404
     """
     head = [] if after_s is None else [("Retry-After", f"{after_s:.3f}")]
--- a/archhatch/runtime/settings.py
+++ b/archhatch/runtime/settings.py
@@ -43,10 +43,10 @@
 LEAST_KEY_BYTES = 16
 
 
-class BootFault(Exception):
+class SettingsError(Exception):
     """A settings file that cannot be used; names the field.
 
-    >>> str(BootFault("NodeName", "is missing"))
+    >>> str(SettingsError("NodeName", "is missing"))
     'settings: NodeName: is missing'
     """
 
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True)
-class CloudSettings:
+class PlatformSettings:
     """The platform's interface for duties, as the settings give it."""
 
     address: str  # IP:PORT
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True)
-class Boot:
+class Settings:
     node: str
     role: str
     klass: str
@@ -88,12 +88,12 @@
     share_lock_s: float = 30.0
     share_locks: int = 200
     notice_key: bytes = field(default=b"", repr=False)
-    cloud: CloudSettings | None = None
+    cloud: PlatformSettings | None = None
 
     def secs(self, name: str, ratio: float = 1.0) -> float:
         """A bound in seconds, scaled.
 
-        >>> # Boot with ContactMs 3000: boot.secs("ContactMs", 0.5) == 1.5
+        >>> # Settings with ContactMs 3000: boot.secs("ContactMs", 0.5) == 1.5
         """
         val = self.bounds[name]
         return (val / 1000.0 if name.endswith("Ms") else float(val)) * ratio
@@ -102,7 +102,7 @@
 def _want(doc: dict, name: str, kind, dflt=None, must: bool = True):
     if name not in doc:
         if must:
-            raise BootFault(name, "is missing")
+            raise SettingsError(name, "is missing")
         return dflt
     val = doc[name]
     if val is None and not must:
@@ -110,14 +110,14 @@
     if kind is float and isinstance(val, int) and not isinstance(val, bool):
         val = float(val)
     if not isinstance(val, kind) or (kind is int and isinstance(val, bool)):
-        raise BootFault(name, f"must be {kind.__name__}, not {type(val).__name__}")
+        raise SettingsError(name, f"must be {kind.__name__}, not {type(val).__name__}")
     return val
 
 
 def _above(doc: dict, name: str, kind, dflt):
     val = _want(doc, name, kind, dflt, must=False)
     if not val > 0:
-        raise BootFault(name, "must be above 0")
+        raise SettingsError(name, "must be above 0")
     return val
 
 
@@ -130,30 +130,30 @@
         with open(path, "rb") as f:
             key = f.read().strip()
     except OSError as e:
-        raise BootFault(name, f"cannot be read: {e.strerror}: {path}") from e
+        raise SettingsError(name, f"cannot be read: {e.strerror}: {path}") from e
     if len(key) < LEAST_KEY_BYTES:
-        raise BootFault(name, f"must hold {LEAST_KEY_BYTES} bytes at least")
+        raise SettingsError(name, f"must hold {LEAST_KEY_BYTES} bytes at least")
     return key
 
 
 def _addr(name: str, val) -> str:
     if not isinstance(val, str) or val.count(":") != 1 or not val.rsplit(":", 1)[1].isdigit():
-        raise BootFault(name, f"must be IP:PORT, not {val!r}")
+        raise SettingsError(name, f"must be IP:PORT, not {val!r}")
     return val
 
 
-def _cloud(doc: dict) -> CloudSettings | None:
+def _cloud(doc: dict) -> PlatformSettings | None:
     """The platform's interface; None where the settings name none."""
     cloud = _want(doc, "CloudApi", dict, None, must=False)
     if not cloud or not cloud.get("Duties"):
         return None
     duties = _want(cloud, "Duties", list)
     if not all(isinstance(name, str) for name in duties):
-        raise BootFault("CloudApi.Duties", "must list names")
+        raise SettingsError("CloudApi.Duties", "must list names")
     rate = _want(cloud, "DutyPerS", float, 10.0, must=False)
     if not rate > 0:
-        raise BootFault("CloudApi.DutyPerS", "must be above 0")
-    return CloudSettings(_addr("CloudApi.Address", cloud.get("Address")), frozenset(duties), rate)
+        raise SettingsError("CloudApi.DutyPerS", "must be above 0")
+    return PlatformSettings(_addr("CloudApi.Address", cloud.get("Address")), frozenset(duties), rate)
 
 
 def _bounds(doc: dict) -> dict:
@@ -164,26 +164,26 @@
             continue
         if isinstance(known, bool):
             if not isinstance(val, bool):
-                raise BootFault(f"Bounds.{name}", "must be true or false")
+                raise SettingsError(f"Bounds.{name}", "must be true or false")
         elif isinstance(val, bool) or not isinstance(val, (int, float)) or val < 0:
-            raise BootFault(f"Bounds.{name}", "must be a number that is not negative")
+            raise SettingsError(f"Bounds.{name}", "must be a number that is not negative")
         out[name] = val
     return out
 
 
-def check_boot(doc: object) -> Boot:
-    """Turn a decoded settings document into a Boot, or raise a BootFault that names the field.
+def check_settings(doc: object) -> Settings:
+    """Turn a decoded settings document into a Boot, or raise a SettingsError that names the field.
 
-    >>> try: check_boot({})
-    ... except BootFault as e: print(e)
+    >>> try: check_settings({})
+    ... except SettingsError as e: print(e)
     settings: NodeName: is missing
     """
     if not isinstance(doc, dict):
-        raise BootFault("(file)", "must hold one JSON object")
+        raise SettingsError("(file)", "must hold one JSON object")
     lim = _want(doc, "Limits", dict, {}, must=False)
     ports = _want(doc, "InternalPorts", list)
     if len(ports) != 2 or not all(isinstance(p, int) and 0 < p < 65536 for p in ports) or ports[1] < ports[0] + 1:
-        raise BootFault("InternalPorts", "must be two rising port numbers")
+        raise SettingsError("InternalPorts", "must be two rising port numbers")
     seeds = tuple(_addr("SeedPeers", s) for s in _want(doc, "SeedPeers", list, [], must=False))
     listen = {k: _addr(f"Bindings.{k}", v) for k, v in _want(doc, "Bindings", dict, {}, must=False).items()}
     tol = _want(doc, "FaultTolerance", dict, {}, must=False)
@@ -191,11 +191,11 @@
     for name, dflt in (("Machines", 1), ("Zones", 0), ("Regions", 0)):
         tolerate[name] = dflt if tol.get(name) is None else tol[name]
         if isinstance(tolerate[name], bool) or not isinstance(tolerate[name], int) or tolerate[name] < 0:
-            raise BootFault(f"FaultTolerance.{name}", "must be a whole number that is not negative")
+            raise SettingsError(f"FaultTolerance.{name}", "must be a whole number that is not negative")
     beat = _want(doc, "KeepaliveMs", float, 1200.0, must=False)
     if beat <= 0:
-        raise BootFault("KeepaliveMs", "must be above 0")
-    return Boot(
+        raise SettingsError("KeepaliveMs", "must be above 0")
+    return Settings(
         node=_want(doc, "NodeName", str),
         role=_want(doc, "Role", str, "", must=False),
         klass=_want(doc, "MachineClass", str, "", must=False),
@@ -222,14 +222,14 @@
     )
 
 
-def read_boot(path: str | None = None) -> Boot:
+def read_settings(path: str | None = None) -> Settings:
     """Read and check the settings file at path, at $ARCHHATCH_CONFIG, or at its usual place."""
     path = path or os.environ.get("ARCHHATCH_CONFIG") or DEFAULT_PATH
     try:
         with open(path, "rb") as f:
             doc = json.loads(f.read())
     except OSError as e:
-        raise BootFault("(file)", f"cannot be read: {e.strerror}: {path}") from e
+        raise SettingsError("(file)", f"cannot be read: {e.strerror}: {path}") from e
     except ValueError as e:
-        raise BootFault("(file)", f"is not JSON: {e}") from e
-    return check_boot(doc)
+        raise SettingsError("(file)", f"is not JSON: {e}") from e
+    return check_settings(doc)
--- a/archhatch/runtime/state_board.py
+++ b/archhatch/runtime/state_board.py
@@ -5,10 +5,10 @@
 import asyncio
 
 
-class Board:
+class StateBoard:
     """Values by name, each with a count of its changes.
 
-    >>> b = Board(); b.post("plan", 7); b.read("plan"), b.turn("plan")
+    >>> b = StateBoard(); b.post("plan", 7); b.read("plan"), b.turn("plan")
     (7, 1)
     """
 
--- a/archhatch/runtime/task_group.py
+++ b/archhatch/runtime/task_group.py
@@ -5,10 +5,10 @@
 import asyncio
 
 
-class Crew:
+class TaskGroup:
     """Holds tasks so that none is lost, and ends them together.
 
-    >>> # crew = Crew(log); crew.keep("pings", self._ping_loop); await crew.end()
+    >>> # crew = TaskGroup(log); crew.keep("pings", self._ping_loop); await crew.end()
     """
 
     def __init__(self, log, counters):
--- a/archhatch/share_group/acknowledgements.py
+++ b/archhatch/share_group/acknowledgements.py
@@ -6,16 +6,16 @@
 
 import orjson
 
-from ..jobs import Deposed
+from ..jobs import DeposedError
 from ..rpc import Refusal
-from .led_partitions import LedRun
-from .window import BadMove, Entry, State, Window
+from .led_partitions import LedPartitions
+from .window import InvalidTransitionError, ShareEntry, EntryState, SharePartition
 
 
-class Settlements:
+class Acknowledgements:
     """Takes the settlements of one leader's workers.
 
-    >>> # settlements = Settlements(leader); doc = await settlements.commit(doc, body)
+    >>> # settlements = Acknowledgements(leader); doc = await settlements.commit(doc, body)
     """
 
     def __init__(self, leader):
@@ -29,13 +29,13 @@
         self.st.board.touch("work")
         return {"done": outs}
 
-    async def _settle(self, run: LedRun, worker: str, row: dict) -> bool:
+    async def _settle(self, run: LedPartitions, worker: str, row: dict) -> bool:
         win = run.windows.get(row["part"])
         try:
             if win is None:
-                raise BadMove(f"{row['part']}: no such partition")
+                raise InvalidTransitionError(f"{row['part']}: no such partition")
             e = win.held(row["off"], worker, row["dc"])
-        except BadMove:
+        except InvalidTransitionError:
             self.st.ctr.add("share.refused")
             return False
         self._learn(e, row)
@@ -47,20 +47,20 @@
         e.settling = True
         try:
             await run.reign.list_result(e.lot, e.item.iid, row["doc"])
-        except Deposed:
+        except DeposedError:
             run.reign.over()
             raise Refusal(3005) from None
         finally:
             e.settling = False
         if e.item.iid not in e.lot.done:  # the reign or the lot ended meanwhile: not settled
             return False
-        if e.state is State.ACQUIRED:
+        if e.state is EntryState.ACQUIRED:
             win.settle(e.offset, worker, row["dc"], row["kind"])
             run.entries.get(e.lot.lid, {}).pop(e.item.iid, None)
         self.st.ctr.add("share." + row["kind"])
         return True
 
-    def _release(self, run: LedRun, win: Window, e: Entry, row: dict) -> bool:
+    def _release(self, run: LedPartitions, win: SharePartition, e: ShareEntry, row: dict) -> bool:
         e.texts, e.last_id, e.versions = row["texts"], row["last"], set(row["versions"])
         e.fails = max(e.fails, row["fails"])
         if row["forget_home"]:
@@ -73,7 +73,7 @@
         self.leader.again(run, e, "release", pause if pause > 0.001 else 0.0)
         return True
 
-    def _learn(self, x: Entry, row: dict) -> None:
+    def _learn(self, x: ShareEntry, row: dict) -> None:
         """What the run showed of its replica: health and versions are judged here, in one place."""
         st, now = self.st, self.st.clock.now()
         e = st.engines.all.get(row["engine"])
--- a/archhatch/share_group/acquired_entry.py
+++ b/archhatch/share_group/acquired_entry.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(eq=False)
-class Job:
+class AcquiredEntry:
     """An acquired entry in a worker's hands. state: running, scoring, settling."""
 
     run: str
--- a/archhatch/share_group/item_stream.py
+++ b/archhatch/share_group/item_stream.py
@@ -7,17 +7,17 @@
 
 import aiohttp
 
-from ..upstream import AGAIN, ECHO, EXPECT_REV, SEAL, VERSIONS, NotSent, belongs, has_end, says_not_run
+from ..upstream import AGAIN, ECHO, EXPECT_REV, SEAL, VERSIONS, NotSentError, belongs, has_end, says_not_run
 from ..upstream.event_stream import EventReader, follows
 from ..upstream.headers import LAST_ID, URGENCY, with_tenant
-from .acquired_entry import Job
+from .acquired_entry import AcquiredEntry
 
 QUIET, FIRST = 3, 2  # gaps: between two events at most, and beside that until the first one
 BESIDE_LIVE = "9"  # the urgency of items at replicas that live requests use too
 SET_BY_US = frozenset({"host", ECHO.lower(), EXPECT_REV.lower()})  # headers of an item that are not its sender's
 
 
-class BadStream(ValueError):
+class InvalidStreamError(ValueError):
     """What came is not the answer of this item, or not all of it."""
 
 
@@ -30,7 +30,7 @@
     def __init__(self, store):
         self.st = store
 
-    async def run(self, job: Job) -> None:
+    async def run(self, job: AcquiredEntry) -> None:
         """Run an entry once; what is whole moves on to scoring."""
         st, gap = self.st, self.st.gap_s()
         if not job.may_send():
@@ -42,7 +42,7 @@
                     if await self._answered(job, resp):
                         await self._read_events(job, resp, limit)
             return
-        except NotSent:
+        except NotSentError:
             st.ctr.add("item.too_late")
             return
         except aiohttp.ClientConnectorError:
@@ -57,14 +57,14 @@
             st.log.debug("item cut at {}: {!r}", job.card["engine"], e)
         job.forget_home = True
 
-    def _ask(self, job: Job):
+    def _ask(self, job: AcquiredEntry):
         card = job.card
         body = base64.b64decode(card["payload"])
         return self.st.caller.ask(
             card["addr"], card["engine"], "POST", card["path"], self._heads(job), body, 0.0, AGAIN, job.may_send
         )
 
-    def _heads(self, job: Job) -> list:
+    def _heads(self, job: AcquiredEntry) -> list:
         card = job.card
         heads = [("Host", card["host"]), (ECHO, card["iid"]), (EXPECT_REV, str(card["version"]))]
         given = with_tenant(card["heads"], card.get("tenant"))
@@ -77,12 +77,12 @@
 
     # -- the answer
 
-    async def _answered(self, job: Job, resp) -> bool:
+    async def _answered(self, job: AcquiredEntry, resp) -> bool:
         """Whether a stream follows the head of an answer; any other answer is taken up here."""
         card = job.card
         if not belongs(resp, card["iid"], AGAIN):
             resp.close()
-            raise BadStream("answer of another item")
+            raise InvalidStreamError("answer of another item")
         if says_not_run(resp):
             await resp.read()
             self._turned_away(job, resp)
@@ -97,10 +97,10 @@
             return False
         if SEAL not in resp.headers or not has_end(resp):
             resp.close()
-            raise BadStream("no seal, or nothing that tells where it ends")
+            raise InvalidStreamError("no seal, or nothing that tells where it ends")
         return True
 
-    def _failed(self, job: Job, status: int) -> None:
+    def _failed(self, job: AcquiredEntry, status: int) -> None:
         gap = self.st.gap_s()
         self.st.ctr.add(f"item.{status}")
         if status == 500:
@@ -110,7 +110,7 @@
         job.sign("faulted", gap)
         job.pause = gap
 
-    def _turned_away(self, job: Job, resp) -> None:
+    def _turned_away(self, job: AcquiredEntry, resp) -> None:
         self.st.ctr.add(f"item.away.{resp.status}")
         other = resp.headers.get("X-Archhatch-Instance-Id")
         if resp.status == 421 and other not in (None, job.card["engine"]):
@@ -123,7 +123,7 @@
 
     # -- the events
 
-    async def _read_events(self, job: Job, resp, limit: asyncio.Timeout) -> None:
+    async def _read_events(self, job: AcquiredEntry, resp, limit: asyncio.Timeout) -> None:
         now, version, gap = self.st.clock.now, job.card["version"], self.st.gap_s()
         current = newest(resp.headers.get(VERSIONS, ""), version)
         reader, began, count = EventReader(), now(), 0
@@ -131,7 +131,7 @@
             limit.reschedule(asyncio.get_running_loop().time() + gap * QUIET)
             for event in reader.feed(raw):
                 if not follows(job.last_id, event.id):
-                    raise BadStream("an event comes again")
+                    raise InvalidStreamError("an event comes again")
                 if event.version:
                     current = newest(event.version, current)
                 job.texts.append(event.data)
@@ -139,7 +139,7 @@
                 job.versions.add(current)
                 count += 1
         if reader.rest:
-            raise BadStream("stream ended inside an event")
+            raise InvalidStreamError("stream ended inside an event")
         if current > version:
             job.sign("version", current)
         job.sign("served", gap)
@@ -147,7 +147,7 @@
             job.sign("pace", (now() - began) / count)
         self._judge_text(job)
 
-    def _judge_text(self, job: Job) -> None:
+    def _judge_text(self, job: AcquiredEntry) -> None:
         """Whole: on to scoring, unless its versions do not fit the lot."""
         card = job.card
         too_old = any(version < card["least"] for version in job.versions)
--- a/archhatch/share_group/job_queue.py
+++ b/archhatch/share_group/job_queue.py
@@ -5,13 +5,13 @@
 import heapq
 from collections import deque
 
-from .window import Entry
+from .window import ShareEntry
 
 
-class LotQueue:
+class JobQueue:
     """take() gives the next entry for an engine: of a group that stands there, of a group without a home, of any.
 
-    >>> # q = LotQueue(want=12); q.put(entry); q.take("i-1", surplus=False, now=0.0)
+    >>> # q = JobQueue(want=12); q.put(entry); q.take("i-1", surplus=False, now=0.0)
     """
 
     def __init__(self, want: int):
@@ -28,7 +28,7 @@
     def _surplus(self, rank: int) -> bool:
         return rank >= self.want > 0
 
-    def put(self, e: Entry, front: bool = False) -> None:
+    def put(self, e: ShareEntry, front: bool = False) -> None:
         """An entry that waits, until its pause is over if it has one."""
         if e.not_before > 0:
             self._count += 1
@@ -58,7 +58,7 @@
             if self.groups.get(group):
                 heapq.heappush(self._free, (self.ranks[group], group))
 
-    def take(self, engine: str, surplus: bool, now: float) -> Entry | None:
+    def take(self, engine: str, surplus: bool, now: float) -> ShareEntry | None:
         """The next waiting entry for a free place of an engine."""
         self._wake(now)
         if not self.waiting[surplus]:
--- a/archhatch/share_group/leader.py
+++ b/archhatch/share_group/leader.py
@@ -7,31 +7,31 @@
 
 import orjson
 
-from ..jobs import Deposed
+from ..jobs import DeposedError
 from ..rpc import Refusal
 from .window_journal import WindowJournal
-from .led_partitions import LedRun, Seat
-from .replica_slots import Places, lane_of
-from .job_queue import LotQueue
+from .led_partitions import LedPartitions, WorkerState
+from .replica_slots import ReplicaSlots, lane_of
+from .job_queue import JobQueue
 from .recalls import Recalls
-from .acknowledgements import Settlements
-from .window import Entry, State, Window
+from .acknowledgements import Acknowledgements
+from .window import ShareEntry, EntryState, SharePartition
 
 
-class Leader:
+class PartitionLeader:
     """Fills the places of the engines with entries, the most urgent lots first, through the workers that ask.
 
-    >>> # leader = Leader(store); crew.keep("leader", leader.run); doc, body = await leader.fetch(doc)
+    >>> # leader = PartitionLeader(store); crew.keep("leader", leader.run); doc, body = await leader.fetch(doc)
     """
 
     def __init__(self, store, lock_s: float = 30.0, most_locks: int = 200):
         self.st = store
         self.lock_s, self.most_locks = lock_s, most_locks
-        self.runs: dict[str, LedRun] = {}
-        self.places = Places(store)
+        self.runs: dict[str, LedPartitions] = {}
+        self.places = ReplicaSlots(store)
         self.due: list = []  # open lots, the most urgent first: (due, lot id, lot, lane, run)
         self.quiet_s = store.quiet_s
-        self.recalls, self.settlements = Recalls(self), Settlements(self)
+        self.recalls, self.settlements = Recalls(self), Acknowledgements(self)
 
     async def run(self) -> None:
         st, turn = self.st, 0
@@ -56,7 +56,7 @@
                 continue
             run = self.runs.get(name)
             if run is None:
-                run = self.runs[name] = LedRun(reign, now)
+                run = self.runs[name] = LedPartitions(reign, now)
                 self._restore(run)
             for lid in [k for k in run.queues if k not in reign.lots or reign.lots[k].ended]:
                 self._drop_lot(run, lid)
@@ -71,7 +71,7 @@
             self._take_back(run, now)
         self.due.sort(key=lambda x: x[:2])
 
-    def _restore(self, run: LedRun) -> None:
+    def _restore(self, run: LedPartitions) -> None:
         """Build the windows of the run's partitions from what the stores told of them."""
         found: dict[str, list] = {}
         for head, body in run.reign.window_recs:
@@ -83,16 +83,16 @@
             win = self._window(run, lot.model)
             win.next = max(win.next, lot.base + lot.total)
 
-    def _window(self, run: LedRun, part: str) -> Window:
+    def _window(self, run: LedPartitions, part: str) -> SharePartition:
         win = run.windows.get(part)
         if win is None:
-            win = run.windows[part] = Window(part, run.reign.term, self.lock_s, self.most_locks)
+            win = run.windows[part] = SharePartition(part, run.reign.term, self.lock_s, self.most_locks)
             run.journals[part] = WindowJournal(run.reign.run, part)
         return win
 
-    def _take_lot(self, run: LedRun, lot) -> None:
+    def _take_lot(self, run: LedPartitions, lot) -> None:
         win = self._window(run, lot.model)
-        q = run.queues[lot.lid] = LotQueue(lot.want)
+        q = run.queues[lot.lid] = JobQueue(lot.want)
         mine = run.entries[lot.lid] = {}
         ranks: dict = {}
         for it in lot.items.values():
@@ -104,10 +104,10 @@
             mine[it.iid] = e
             q.put(e)
 
-    def _drop_lot(self, run: LedRun, lid: str) -> None:
+    def _drop_lot(self, run: LedPartitions, lid: str) -> None:
         """The lot is ended: nothing of it starts any more, and what runs is broken off."""
         for e in run.entries.pop(lid, {}).values():
-            if e.state is State.ACQUIRED:
+            if e.state is EntryState.ACQUIRED:
                 self.break_off(run, e, "ended")
             self.unplace(e)
             run.windows[e.lot.model].finish(e)
@@ -121,17 +121,17 @@
         for seat in run.seats.values():
             self.st.board.touch(("seat", name, seat.worker))
 
-    def break_off(self, run: LedRun, e: Entry, why: str) -> None:
+    def break_off(self, run: LedPartitions, e: ShareEntry, why: str) -> None:
         seat = run.seats.get(e.worker)
         if seat is not None:
             seat.drop.append((e.lot.model, e.offset, e.deliveries, why))
 
-    def unplace(self, e: Entry) -> None:
+    def unplace(self, e: ShareEntry) -> None:
         if e.engine is not None:
             e.engine.running[e.lot.model] -= 1
             e.engine = None
 
-    def _take_back(self, run: LedRun, now: float) -> None:
+    def _take_back(self, run: LedPartitions, now: float) -> None:
         """Locks that ran out, workers that are gone, and batches that never came: their entries are Available again."""
         st = self.st
         for seat in list(run.seats.values()):
@@ -139,7 +139,7 @@
                 if now - at > self.quiet_s:
                     del seat.unread[n]
                     for e, delivery in entries:
-                        if e.state is State.ACQUIRED and e.worker == seat.worker and e.deliveries == delivery:
+                        if e.state is EntryState.ACQUIRED and e.worker == seat.worker and e.deliveries == delivery:
                             self.again(run, e, "batch_lost")
             if not st.alive(seat.worker) or now - seat.heard > self.quiet_s * 2:
                 del run.seats[seat.worker]
@@ -149,12 +149,12 @@
                 self.break_off(run, e, "expired")
                 self.again(run, e, "lock_expired")
 
-    def _free(self, run: LedRun, worker: str, why: str) -> None:
+    def _free(self, run: LedPartitions, worker: str, why: str) -> None:
         for win in run.windows.values():
             for e in [e for e in win.locked.values() if e.worker == worker and not e.settling]:
                 self.again(run, e, why)
 
-    def again(self, run: LedRun, e: Entry, why: str = "", pause: float = 0.0) -> None:
+    def again(self, run: LedPartitions, e: ShareEntry, why: str = "", pause: float = 0.0) -> None:
         """Make an entry Available, at the head of its group."""
         if why:
             self.st.ctr.add("share." + why)
@@ -192,7 +192,7 @@
 
     # -- fetch
 
-    def run_of(self, doc: dict) -> LedRun:
+    def run_of(self, doc: dict) -> LedPartitions:
         self.sync_if_new(doc["run"])
         run = self.runs.get(doc["run"])
         if run is None or run.reign.state != "holding" or self.st.leaving:
@@ -224,7 +224,7 @@
                 raise Refusal(3007, run.reign.term)
             if seat is not None:
                 self._free(run, seat.worker, "worker_gone")
-            seat = run.seats[doc["worker"]] = Seat(doc["worker"], doc["life"], doc["zone"])
+            seat = run.seats[doc["worker"]] = WorkerState(doc["worker"], doc["life"], doc["zone"])
         if doc["poll"] < seat.poll:
             return {"old": True}, b"[]"
         seat.poll, seat.heard, seat.lag = doc["poll"], now, doc["lag"]
@@ -255,7 +255,7 @@
                 return {"kept": kept, "drop": drop, "batch": n}, orjson.dumps([d for _, d in batch])
             await st.board.news(key, turn, end - now)
 
-    def _stream_ended(self, run: LedRun, worker: str, part: str, offset: int, delivery: int) -> None:
+    def _stream_ended(self, run: LedPartitions, worker: str, part: str, offset: int, delivery: int) -> None:
         win = run.windows.get(part)
         e = win.locked.get(offset) if win is not None else None
         if e is not None and e.worker == worker and e.deliveries == delivery:
@@ -263,15 +263,15 @@
                 run.times.note(part, self.st.clock.now() - e.until + self.lock_s)
             self.unplace(e)
 
-    def _attach(self, run: LedRun, seat: Seat, holding: list, now: float) -> list:
+    def _attach(self, run: LedPartitions, seat: WorkerState, holding: list, now: float) -> list:
         """A worker that outlived the last leader takes up again what it still holds, each as a new acquisition."""
         kept = []
         for lid, iid, engine in holding:
             e = run.entries.get(lid, {}).get(iid)
-            if e is not None and e.state is State.ACQUIRED and e.worker == seat.worker:
+            if e is not None and e.state is EntryState.ACQUIRED and e.worker == seat.worker:
                 kept.append([lid, iid, e.offset, e.deliveries])
                 continue
-            if e is None or e.state is not State.AVAILABLE or run.windows[e.lot.model].room() <= 0:
+            if e is None or e.state is not EntryState.AVAILABLE or run.windows[e.lot.model].room() <= 0:
                 continue
             q = run.queues[lid]
             row = q.groups.get(e.item.group)
@@ -296,14 +296,14 @@
         self.st.ctr.add("share.attached", len(kept))
         return kept
 
-    def _settled_in(self, run: LedRun, now: float) -> bool:
+    def _settled_in(self, run: LedPartitions, now: float) -> bool:
         """Whether the workers of an earlier epoch have had their time to say what they still hold."""
         st = self.st
         if now - run.since >= self.quiet_s * 0.5:
             return True
         return all(sid in run.seats for sid, m in st.members().items() if m["state"] == "active" and st.alive(sid))
 
-    def _hand_out(self, run: LedRun, seat: Seat, now: float) -> list:
+    def _hand_out(self, run: LedPartitions, seat: WorkerState, now: float) -> list:
         """Acquire entries for the free places of the engines that this worker drives."""
         if not run.reign.fresh() or not self._settled_in(run, now):
             return []
@@ -358,7 +358,7 @@
                     fit.remove(iid)
                     del room[iid]
 
-    def _card(self, x: Entry, e, version: int, lane) -> dict:
+    def _card(self, x: ShareEntry, e, version: int, lane) -> dict:
         """An acquired entry as its worker gets it."""
         it, lot = x.item, x.lot
         return {
@@ -403,7 +403,7 @@
                 for rec in recs:
                     try:
                         await run.reign.note(rec)
-                    except Deposed:
+                    except DeposedError:
                         self.st.ctr.add("share.zombie_write")
                         run.reign.over()
                         break
--- a/archhatch/share_group/led_partitions.py
+++ b/archhatch/share_group/led_partitions.py
@@ -6,14 +6,14 @@
 
 from .run_times import RunTimes
 from .window_journal import WindowJournal
-from .job_queue import LotQueue
-from .window import Entry, Window
+from .job_queue import JobQueue
+from .window import ShareEntry, SharePartition
 
 RECALL = "recall"  # the worker is to give an entry back whose stream still takes a place; all else it just drops
 
 
 @dataclass
-class Seat:
+class WorkerState:
     """A worker at this leader: one life of a store node."""
 
     worker: str
@@ -27,17 +27,17 @@
     unread: dict = field(default_factory=dict)  # batch -> (when, [entries]) until the worker says it came
 
 
-class LedRun:
+class LedPartitions:
     """What this leader knows of one service's partitions, for as long as its reign lasts."""
 
     def __init__(self, reign, now: float):
         self.reign = reign
         self.since = now
-        self.windows: dict[str, Window] = {}
+        self.windows: dict[str, SharePartition] = {}
         self.journals: dict[str, WindowJournal] = {}
-        self.queues: dict[str, LotQueue] = {}  # lot -> its Available entries
-        self.entries: dict[str, dict[str, Entry]] = {}  # lot -> item -> entry that is not final
-        self.seats: dict[str, Seat] = {}
+        self.queues: dict[str, JobQueue] = {}  # lot -> its Available entries
+        self.entries: dict[str, dict[str, ShareEntry]] = {}  # lot -> item -> entry that is not final
+        self.seats: dict[str, WorkerState] = {}
         self.drivers: dict[str, str] = {}  # engine -> worker
         self.drivers_of: tuple = ()
         self.times = RunTimes()
--- a/archhatch/share_group/recalls.py
+++ b/archhatch/share_group/recalls.py
@@ -5,8 +5,8 @@
 
 from .led_partitions import RECALL
 from .replica_slots import lane_of
-from .job_queue import LotQueue
-from .window import Entry
+from .job_queue import JobQueue
+from .window import ShareEntry
 
 
 class Recalls:
@@ -65,7 +65,7 @@
                 self.leader.break_off(run, entry, RECALL)
                 st.ctr.add("item.moved_on")
 
-    def _leaves(self, entry: Entry, lane) -> bool:
+    def _leaves(self, entry: ShareEntry, lane) -> bool:
         return (
             lane is not None
             and entry.engine is not None
@@ -73,7 +73,7 @@
             and self.st.placement.leaves(lane, entry.engine.zone)
         )
 
-    def _leave_homes(self, queue: LotQueue, lane) -> None:
+    def _leave_homes(self, queue: JobQueue, lane) -> None:
         """Groups that wait for a replica which they should no longer use may stand elsewhere."""
         for group, iid in list(queue.homes.items()):
             engine = self.st.engines.all.get(iid)
--- a/archhatch/share_group/replica_slots.py
+++ b/archhatch/share_group/replica_slots.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from ..membership import rank
-from ..rollout_controller.load_limit import Lull
-from .led_partitions import LedRun
+from ..rollout_controller.load_limit import LoadLimit
+from .led_partitions import LedPartitions
 
 DOUBTFUL = 3  # a replica in doubt has one place in so many
 DONE_BY = 0.8  # of the time until a lot is due: by then its demand has all done
@@ -21,17 +21,17 @@
     return plan.lane(lot.host, lot.path.split("?", 1)[0]) if plan is not None else None
 
 
-class Places:
+class ReplicaSlots:
     """Answers for one leader.
 
-    >>> # places = Places(store); places.open(engine, now); places.driver(run, engine)
+    >>> # places = ReplicaSlots(store); places.open(engine, now); places.driver(run, engine)
     """
 
     def __init__(self, store):
         self.st = store
-        self.lull = Lull()
+        self.lull = LoadLimit()
 
-    def workers(self, run: LedRun) -> list:
+    def workers(self, run: LedPartitions) -> list:
         """Seats that may drive replicas: not those that lag far behind the others, nor this node if others can."""
         seats = list(run.seats.values())
         lags = sorted(s.lag for s in seats)
@@ -40,7 +40,7 @@
         others = [s for s in well if s.worker != self.st.id]
         return others if len(others) >= 2 else well
 
-    def driver(self, run: LedRun, e) -> str | None:
+    def driver(self, run: LedPartitions, e) -> str | None:
         """The worker of an engine, by rendezvous: of the engine's zone where there is one."""
         seats = self.workers(run)
         key = tuple(sorted((s.worker, s.zone) for s in seats))
@@ -65,7 +65,7 @@
         places = self.places(e)
         return (min(places, max(1, places // DOUBTFUL)) if health == "doubtful" else places) - e.busy()
 
-    def short(self, run: LedRun, model: str) -> bool:
+    def short(self, run: LedPartitions, model: str) -> bool:
         """Whether items that the trainer waits for find no free place under a version that they allow, and would not be
         done well before they are due where the others run."""
         now = self.st.clock.now()
@@ -84,7 +84,7 @@
                 return True
         return False
 
-    def demand(self, run: LedRun) -> float:
+    def demand(self, run: LedPartitions) -> float:
         """The places that would have all open lots done in time: for what the trainer waits for, and what runs now."""
         now, total = self.st.clock.now(), 0.0
         for lid, queue in run.queues.items():
@@ -99,12 +99,12 @@
             total += share * (queue.waiting[False] + max(0, running))
         return total
 
-    def _in_time(self, run: LedRun, lot, waiting: int, running: int, now: float) -> bool:
+    def _in_time(self, run: LedPartitions, lot, waiting: int, running: int, now: float) -> bool:
         """Whether so many waiting items of a lot would be done well before it is due."""
         lane, done_s = lane_of(self.st.plan, lot), run.times.forecast(lot.model, waiting, running)
         return lane is not None and done_s is not None and done_s <= IN_TIME * (lot.taken + lane.due_s - now)
 
-    def room_for(self, run: LedRun, lanes: list) -> int:
+    def room_for(self, run: LedPartitions, lanes: list) -> int:
         """Free places where any of these lanes may run."""
         now, placement = self.st.clock.now(), self.st.placement
         zones = {zone for lane in {id(x): x for x in lanes}.values() for zone in placement.zones(lane) or ()}
--- a/archhatch/share_group/window.py
+++ b/archhatch/share_group/window.py
@@ -8,7 +8,7 @@
 from transitions import Machine
 
 
-class State(enum.IntEnum):
+class EntryState(enum.IntEnum):
     """The states of an entry; the numbers are those of KIP-932's delivery states."""
 
     AVAILABLE = 0
@@ -25,35 +25,37 @@
     {"trigger": "archive", "source": ["AVAILABLE", "ACQUIRED"], "dest": "ARCHIVED"},
     {"trigger": "found", "source": ["AVAILABLE", "ACQUIRED"], "dest": "ACKNOWLEDGED"},
 ]
-FINAL = (State.ACKNOWLEDGED, State.ARCHIVED)
+FINAL = (EntryState.ACKNOWLEDGED, EntryState.ARCHIVED)
 
 
 def _table() -> dict:
     """The machine's moves as a look-up: entries come by the ten thousand, one machine serves them all."""
-    Machine(model=None, states=[s.name for s in State], initial="AVAILABLE", transitions=MOVES, auto_transitions=False)
+    Machine(
+        model=None, states=[s.name for s in EntryState], initial="AVAILABLE", transitions=MOVES, auto_transitions=False
+    )
     out = {}
     for m in MOVES:
         for src in [m["source"]] if isinstance(m["source"], str) else m["source"]:
-            out[State[src], m["trigger"]] = State[m["dest"]]
+            out[EntryState[src], m["trigger"]] = EntryState[m["dest"]]
     return out
 
 
 TABLE = _table()
 
 
-class BadMove(Exception):
+class InvalidTransitionError(Exception):
     """A settlement of an entry that is not the caller's, or of another acquisition: it counts for nothing."""
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
+class ShareEntry:
     """One item of an open lot at its offset. partial: what released runs made of its text."""
 
     offset: int
     lot: object
     item: object
     rank: int
-    state: State = State.AVAILABLE
+    state: EntryState = EntryState.AVAILABLE
     deliveries: int = 0
     worker: str = ""
     until: float = 0.0
@@ -73,7 +75,7 @@
     def fits(self, version: int, single: bool) -> bool:
         """Whether a run under a version may go on with this text: the one place where that is decided.
 
-        >>> Entry(0, type("L", (), {"least": 2})(), None, 0, texts=["a"], versions={3}).fits(4, True)
+        >>> ShareEntry(0, type("L", (), {"least": 2})(), None, 0, texts=["a"], versions={3}).fits(4, True)
         False
         """
         if version < self.lot.least or any(v < self.lot.least for v in self.versions):
@@ -81,11 +83,11 @@
         return not (single and self.versions and self.versions != {version})
 
 
-class Window:
+class SharePartition:
     """Entries by offset. Before start all are final; from end on none was ever acquired; between them they are in
     flight. Locks are timed on the steady clock and at most most_locks at once.
 
-    >>> w = Window("m", 3, lock_s=30.0, most_locks=200); e = w.append(None, None, 0)
+    >>> w = SharePartition("m", 3, lock_s=30.0, most_locks=200); e = w.append(None, None, 0)
     >>> w.acquire(e, "w1", 0.0); w.settle(e.offset, "w1", 1, "accept").state.name, w.start
     ('ACKNOWLEDGED', 1)
     """
@@ -95,17 +97,17 @@
         self.lock_s, self.most_locks = lock_s, most_locks
         self.start = self.end = 0
         self.next = 0  # the offset of the next entry that is appended
-        self.entries: dict[int, Entry] = {}  # those that are not final
-        self.locked: dict[int, Entry] = {}
+        self.entries: dict[int, ShareEntry] = {}  # those that are not final
+        self.locked: dict[int, ShareEntry] = {}
         self.counts: dict[int, int] = {}  # delivery counts read from a snapshot, until their entries are appended
         self.dirty: dict[int, tuple] = {}  # offset -> (state, deliveries) since the last delta
 
-    def _move(self, e: Entry, trigger: str) -> None:
+    def _move(self, e: ShareEntry, trigger: str) -> None:
         to = TABLE.get((e.state, trigger))
         if to is None:
-            raise BadMove(f"{self.partition}@{e.offset}: {e.state.name} knows no {trigger}")
+            raise InvalidTransitionError(f"{self.partition}@{e.offset}: {e.state.name} knows no {trigger}")
         e.state = to
-        if to is not State.ACQUIRED:
+        if to is not EntryState.ACQUIRED:
             self.locked.pop(e.offset, None)
             e.settling = False
             # acquisitions are not written down, as in KIP-932: a new leader presents them again
@@ -119,10 +121,10 @@
             self.start += 1
         self.end = max(self.end, self.start)
 
-    def append(self, lot, item, rank: int, offset: int | None = None) -> Entry:
+    def append(self, lot, item, rank: int, offset: int | None = None) -> ShareEntry:
         """A new entry behind all others, or at the offset that it had under an earlier leader."""
         at = self.next if offset is None or offset in self.entries or offset < self.start else offset
-        e = self.entries[at] = Entry(at, lot, item, rank)
+        e = self.entries[at] = ShareEntry(at, lot, item, rank)
         e.deliveries = self.counts.pop(at, 0)
         self.next = max(self.next, at + 1)
         return e
@@ -137,38 +139,38 @@
         """Locks that are left."""
         return self.most_locks - len(self.locked)
 
-    def acquire(self, e: Entry, worker: str, now: float) -> None:
+    def acquire(self, e: ShareEntry, worker: str, now: float) -> None:
         """Lock an Available entry for a worker; raises the delivery count."""
         if self.room() <= 0:
-            raise BadMove(f"{self.partition}: all {self.most_locks} locks are taken")
+            raise InvalidTransitionError(f"{self.partition}: all {self.most_locks} locks are taken")
         self._move(e, "acquire")
         e.deliveries += 1
         e.worker, e.until, e.recalled = worker, now + self.lock_s, False
         self.locked[e.offset] = e
         self.end = max(self.end, e.offset + 1)
 
-    def held(self, offset: int, worker: str, delivery: int) -> Entry:
-        """The entry of a settlement; BadMove unless this worker holds this very acquisition."""
+    def held(self, offset: int, worker: str, delivery: int) -> ShareEntry:
+        """The entry of a settlement; InvalidTransitionError unless this worker holds this very acquisition."""
         e = self.locked.get(offset)
         if e is None or e.worker != worker or e.deliveries != delivery:
-            raise BadMove(f"{self.partition}@{offset}: not held by {worker} with delivery {delivery}")
+            raise InvalidTransitionError(f"{self.partition}@{offset}: not held by {worker} with delivery {delivery}")
         return e
 
-    def settle(self, offset: int, worker: str, delivery: int, kind: str) -> Entry:
+    def settle(self, offset: int, worker: str, delivery: int, kind: str) -> ShareEntry:
         """accept, release or reject an entry."""
         e = self.held(offset, worker, delivery)
         self._move(e, kind)
         return e
 
-    def give_up(self, e: Entry) -> None:
+    def give_up(self, e: ShareEntry) -> None:
         """Take a lock back: it ran out, or its worker is gone."""
         self._move(e, "release")
 
-    def finish(self, e: Entry, found: bool = False) -> None:
+    def finish(self, e: ShareEntry, found: bool = False) -> None:
         """No more runs of this entry: its lot ended, or it was found settled."""
         if e.state not in FINAL:
             self._move(e, "found" if found else "archive")
 
-    def expired(self, now: float) -> list[Entry]:
+    def expired(self, now: float) -> list[ShareEntry]:
         """Entries whose lock ran out. One that is being settled keeps it."""
         return [e for e in self.locked.values() if now >= e.until and not e.settling]
--- a/archhatch/share_group/window_journal.py
+++ b/archhatch/share_group/window_journal.py
@@ -6,7 +6,7 @@
 
 from ..jobs import Record
 from ..runtime import encode_kept
-from .window import State, Window
+from .window import EntryState, SharePartition
 
 EVERY = 32  # deltas after which a new snapshot is written
 
@@ -50,21 +50,21 @@
         }
         return Record(head, encode_kept(doc))
 
-    def next(self, win: Window) -> Record | None:
+    def next(self, win: SharePartition) -> Record | None:
         """A snapshot when one is due, else a delta of what changed; None if nothing did."""
         if not win.dirty and self.snapshot_epoch:
             return None
         if not self.snapshot_epoch or self.number >= EVERY:
             self.snapshot_epoch += 1
             self.number = 0
-            marks = {o: (int(State.AVAILABLE), e.deliveries) for o, e in win.entries.items() if e.deliveries}
+            marks = {o: (int(EntryState.AVAILABLE), e.deliveries) for o, e in win.entries.items() if e.deliveries}
             win.dirty = {}
             return self._rec("S", win.epoch, {"start": win.start, "next": win.next, "batches": batches(marks)})
         self.number += 1
         marks, win.dirty = win.dirty, {}
         return self._rec("U", win.epoch, {"start": win.start, "next": win.next, "batches": batches(marks)})
 
-    def restore(self, win: Window, found: list, ctr) -> None:
+    def restore(self, win: SharePartition, found: list, ctr) -> None:
         """Load the newest snapshot among the records that stores told, then its deltas in order up to the first gap.
 
         found: [(head, body), ...] from several stores, in any order, doubles included.
--- a/archhatch/share_group/worker.py
+++ b/archhatch/share_group/worker.py
@@ -7,21 +7,21 @@
 
 import orjson
 
-from ..rollout_controller.load_limit import Lull
+from ..rollout_controller.load_limit import LoadLimit
 from ..rollout_controller.scoring import Scoring
 from ..rpc import CallError, Refusal
 from .item_stream import ItemStream
-from .acquired_entry import Job
+from .acquired_entry import AcquiredEntry
 
 
-class Desk:
+class LeaderSession:
     """What a worker keeps of one run: its leader's epoch, the entries in hand, settlements on their way."""
 
     def __init__(self):
         self.epoch = 0
         self.attach = True
         self.poll = 0
-        self.jobs: dict[tuple, Job] = {}
+        self.jobs: dict[tuple, AcquiredEntry] = {}
         self.off: list = []  # streams that ended, until a poll that told of them was answered
         self.got: list = []  # batches that came
         self.heard = float("-inf")  # when the leader's last answered question was sent
@@ -37,8 +37,8 @@
 
     def __init__(self, store):
         self.st = store
-        self.desks: dict[str, Desk] = {}
-        self.lull = Lull()
+        self.desks: dict[str, LeaderSession] = {}
+        self.lull = LoadLimit()
         self.stream = ItemStream(store)
         self.scoring = Scoring(store, self.lull)
         self.hold_s = store.boot.secs("CancelMs", 0.25)
@@ -50,7 +50,7 @@
         while True:
             for run in st.tenures():
                 if run not in self.desks:
-                    self.desks[run] = Desk()
+                    self.desks[run] = LeaderSession()
                     st.crew.keep("pull", self._pull, run)
                     st.crew.keep("commit", self._commit, run)
                 desk, lead = self.desks[run], self._leader(run)
@@ -109,7 +109,7 @@
             if poll.done() and not poll.cancelled() and poll.result() is not True:
                 await asyncio.sleep(st.beat_s * 0.25)
 
-    async def _poll(self, run: str, desk: Desk, lead: tuple) -> bool:
+    async def _poll(self, run: str, desk: LeaderSession, lead: tuple) -> bool:
         """One question to the leader; takes up what it answers. False if it gave nothing to go on."""
         st, (epoch, sid, addr) = self.st, lead
         sent = st.clock.now()
@@ -172,7 +172,7 @@
         st.board.touch("score")
         return True
 
-    def _keep(self, desk: Desk, held: list, kept: list) -> None:
+    def _keep(self, desk: LeaderSession, held: list, kept: list) -> None:
         """Under a new epoch only what its leader took up again stays."""
         new = {(lid, iid): (offset, delivery) for lid, iid, offset, delivery in kept}
         desk.off = []
@@ -191,13 +191,13 @@
                 desk.off.append([job.card["part"], *mine])
         desk.ready.set()
 
-    def _take(self, run: str, desk: Desk, card: dict, sent: float) -> None:
+    def _take(self, run: str, desk: LeaderSession, card: dict, sent: float) -> None:
         key = (card["lot"], card["iid"])
         old = desk.jobs.get(key)
         if old is not None and old.task is not None:  # given up by the leader, and handed out anew
             desk.jobs.pop(key)
             old.task.cancel()
-        job = Job(
+        job = AcquiredEntry(
             run,
             card,
             sent + card["lock"],
@@ -211,7 +211,7 @@
         desk.jobs[key] = job
         job.task = self.st.crew.once("item", self._run, desk, job)
 
-    def _may_send(self, job: Job) -> bool:
+    def _may_send(self, job: AcquiredEntry) -> bool:
         """Whether a new request of this entry may reach a replica: the lock stands and the leader was heard lately, so
         that the lot cannot have been ended for longer than the bound allows."""
         now = self.st.clock.now()
@@ -220,7 +220,7 @@
 
     # -- running
 
-    async def _run(self, desk: Desk, job: Job) -> None:
+    async def _run(self, desk: LeaderSession, job: AcquiredEntry) -> None:
         try:
             await self.stream.run(job)
         except asyncio.CancelledError:
@@ -255,14 +255,14 @@
         self.st.ctr.add("item." + doc["OperState"])
         self._settle(desk, job, "accept" if doc["OperState"] == "complete" else "reject", doc)
 
-    def _off(self, desk: Desk, job: Job) -> None:
+    def _off(self, desk: LeaderSession, job: AcquiredEntry) -> None:
         """The place at the replica is free: say so at once."""
         if not job.off_told:
             job.off_told = True
             desk.off.append([job.card["part"], job.card["off"], job.card["dc"]])
             desk.poke.set()
 
-    def _settle(self, desk: Desk, job: Job, kind: str, doc: dict | None = None) -> None:
+    def _settle(self, desk: LeaderSession, job: AcquiredEntry, kind: str, doc: dict | None = None) -> None:
         """Settle an entry; it counts once the leader has committed it."""
         job.state = "settling"
         c = job.card
--- a/archhatch/simulation/chain.py
+++ b/archhatch/simulation/chain.py
@@ -15,7 +15,7 @@
 MOST_TRIED = 2000  # beginnings of chains: beyond it, none is taken to fit
 
 
-class BrokenChain(Exception):
+class BrokenChainError(Exception):
     """The changes that were seen in force can't stand in one chain."""
 
 
@@ -68,7 +68,9 @@
                 continue
             source = [by_mark[m] for m in read.marks if m in by_mark and by_mark[m].revision == read.revision]
             if not source:
-                raise BrokenChain(f"revision {read.revision} was read with {read.marks}, which nobody sent under it")
+                raise BrokenChainError(
+                    f"revision {read.revision} was read with {read.marks}, which nobody sent under it"
+                )
             for change in source:
                 found[change.number] = change
         return sorted(found.values(), key=lambda c: c.revision)
@@ -90,7 +92,7 @@
                 best = best or line[::-1]
             open_ends += [[*line, before] for before in self._before(line[-1])]
         missing = [c.number for c in self.evident if c not in best]
-        raise BrokenChain(
+        raise BrokenChainError(
             f"changes {missing} were in force, and no chain holds them; the nearest one has "
             f"{[f'{c.number}: {c.revision} on {c.match}' for c in best]}"
         )
--- a/archhatch/simulation/checker.py
+++ b/archhatch/simulation/checker.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from .chain import BrokenChain, Chain, Sends
+from .chain import BrokenChainError, Chain, Sends
 from .history import Attempt, Calm, History, Outcome
 
 
@@ -45,7 +45,7 @@
     found = _check_readers(history) + _check_leases(history) + _check_last(history)
     try:
         chain = Chain(history)
-    except BrokenChain as broken:
+    except BrokenChainError as broken:
         return found + [Violation(Rule.CHAIN, str(broken))]
     found += _check_one_each(chain) + _check_force(chain)
     found += _check_content(history, chain) or _check_order(history, chain)
--- a/archhatch/simulation/control_node.py
+++ b/archhatch/simulation/control_node.py
@@ -7,9 +7,9 @@
 
 from ..control.node import ControlNode
 from ..control.registers import PLAN
-from ..membership import Newsreader
-from ..runtime import Board, Counters
-from ..runtime.settings import check_boot
+from ..membership import ConfigWatcher
+from ..runtime import StateBoard, Counters
+from ..runtime.settings import check_settings
 from ..rpc import Handlers
 from .deployment import Deployment
 from .history import Seen
@@ -30,7 +30,7 @@
         "AckTimeoutMs": int(deployment.history.acknowledge_s * 1000),
         "ConvergeMs": int(deployment.history.converge_s * 1000),
     }
-    return check_boot(
+    return check_settings(
         {
             "NodeName": f"node-{host}",
             "IpAddress": host,
@@ -127,11 +127,11 @@
         loop.spawn(self._life, self._run(self._lives))
 
     async def _run(self, number: int) -> None:
-        deployment, counters, board = self.deployment, Counters(), Board()
+        deployment, counters, board = self.deployment, Counters(), StateBoard()
         boot = settings(deployment, self.name, deployment.some_hosts(SEEDS), False)
         pool = deployment.network.at(self.name, self._life).pool(counters)
         card = {"id": f"{self.name}-{number}", "klass": "edge", "name": self.name, "ip": self.name, "zone": "z"}
-        reader = Newsreader(boot, card, pool, board, VirtualClock(deployment.loop), counters)
+        reader = ConfigWatcher(boot, card, pool, board, VirtualClock(deployment.loop), counters)
         task = asyncio.ensure_future(reader.run())
         while not task.done():
             plan = reader.parts.get(PLAN, {}).get("plan") or {"Revision": 0}
--- a/archhatch/simulation/operators.py
+++ b/archhatch/simulation/operators.py
@@ -50,7 +50,7 @@
         return cls(rng.choice((1, 2, 2)), rng.choice((0, 1, 3)), pause, faithful)
 
 
-class Caller:
+class UpstreamClient:
     """Calls the HTTP entry of a node, as one outside the system does."""
 
     def __init__(self, deployment: Deployment, name: str, habits: Habits):
@@ -88,7 +88,7 @@
         return 503, b""
 
 
-class Operator(Caller):
+class Operator(UpstreamClient):
     """Sends orders as the users' pages say. Numbers of changes come from one count for all operators of a run."""
 
     def __init__(self, deployment: Deployment, name: str, habits: Habits, numbers: itertools.count, sent: list):
@@ -220,7 +220,7 @@
         await self.send(self.make(self.newest, valid=False), 1.0)
 
 
-class Claimer(Caller):
+class Claimer(UpstreamClient):
     """A store that tries to get leases, by the calls of nodes."""
 
     def __init__(self, deployment: Deployment, name: str, habits: Habits, runs: tuple = ("svc",)):
--- a/archhatch/simulation/planted_faults.py
+++ b/archhatch/simulation/planted_faults.py
@@ -53,13 +53,13 @@
 
 @plant("reused-ballot", "a ballot names the life of its proposer")
 def _reused_ballot():
-    yield mock.patch.object(proposer, "new_life", lambda: "")
+    yield mock.patch.object(proposer, "new_incarnation", lambda: "")
 
 
 @plant("memory-before-disk", "a promise counts only once its sync has returned")
 def _memory_before_disk():
     async def prepare(self, wanted):
-        wanted = ballot.Ballot.read(wanted)
+        wanted = ballot.ProposalNumber.read(wanted)
         if wanted < self.promised:
             return {"ok": False, "promised": self.promised.wire()}
         if wanted > self.promised:
@@ -68,7 +68,7 @@
         return {"ok": True, "ballot": self.ballot.wire(), "state": self.state}
 
     async def accept(self, wanted, state):
-        wanted = ballot.Ballot.read(wanted)
+        wanted = ballot.ProposalNumber.read(wanted)
         if wanted < self.promised:
             return {"ok": False, "promised": self.promised.wire()}
         if wanted == self.ballot and state["stamp"] <= self.state["stamp"]:
@@ -106,7 +106,7 @@
     real = acceptor.Acceptor.accept
 
     async def accept(self, wanted, state):
-        before, self.promised = self.promised, min(self.promised, ballot.Ballot.read(wanted))
+        before, self.promised = self.promised, min(self.promised, ballot.ProposalNumber.read(wanted))
         out = await real(self, wanted, state)
         self.promised = max(before, self.promised)
         return out
--- a/archhatch/simulation/register_node.py
+++ b/archhatch/simulation/register_node.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from ..consensus import Acceptor, Proposer, Unclear
+from ..consensus import Acceptor, Proposer, UnclearResultError
 from ..control.registers import commands
 from ..runtime import CODES, Counters
 from ..rpc import CallError, Handlers, Refusal
@@ -197,7 +197,7 @@
     async def _run_here(self, name: str, args: dict) -> tuple:
         try:
             return await self.proposer.do(name, args, RUN_S)
-        except Unclear:
+        except UnclearResultError:
             raise Refusal(UNREACHED) from None
 
     # -- duties
