--- a/archhatch/singleton_roles/admin.py
+++ b/archhatch/singleton_roles/admin.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from ..runtime import fault_result, json_result
+from ..runtime import error_result, json_result
 from .commands import split_key
 
 DONE, UNREACHED, UNKNOWN = 1000, 3003, 2304
 
 
-class DutyDesk:
+class SingletonRoleAdmin:
     """Answers the administration API's calls on duties.
 
-    >>> # result = await DutyDesk(node, "plan").answer("duty.list", "")
+    >>> # result = await SingletonRoleAdmin(node, "plan").answer("duty.list", "")
     """
 
     def __init__(self, node, part: str):
@@ -25,15 +25,15 @@
         """Run one call: `duty.list` (all duties, or the one of a key) or `duty.reset`."""
         if name == "duty.reset":
             code, doc = await self._run(name, key, {"key": key, "node": self.node.boot.node})
-            return json_result(DONE, {"OperState": "IDLE"}) if code == DONE else fault_result(code, str(doc))
+            return json_result(DONE, {"OperState": "IDLE"}) if code == DONE else error_result(code, str(doc))
         duties: dict = {}
         for namespace in [split_key(key)[0]] if key else sorted(self._groups()):
             code, doc = await self._run("duty.list", namespace, {"key": namespace})
             if code != DONE:
-                return fault_result(code, namespace)
+                return error_result(code, namespace)
             duties.update(doc)
         if key and key not in duties:
-            return fault_result(UNKNOWN, key)
+            return error_result(UNKNOWN, key)
         chosen = [key] if key else sorted(duties)
         return json_result(DONE, {"DutyList": [view(name, duties[name]) for name in chosen]})
 
--- a/archhatch/singleton_roles/client.py
+++ b/archhatch/singleton_roles/client.py
@@ -6,8 +6,8 @@
 import sys
 from urllib.parse import quote
 
-from ..region_policy.client import ControlPlane, DeskFault
-from ..runtime import BootFault, read_boot
+from ..region_policy.client import ControlPlane, PolicyClientError
+from ..runtime import SettingsError, read_settings
 
 USE = """archhatch: duties: say one of
   duties list          each duty's state, fence and holder
@@ -15,10 +15,10 @@
   duties reset KEY     allow a duty that failed to be tried again"""
 
 
-class DutyClient:
+class SingletonRoleClient:
     """Runs one command; its status: 0 done, 1 a fault, 2 wrong use.
 
-    >>> # status = DutyClient(FLAGS).run(["list"])
+    >>> # status = SingletonRoleClient(FLAGS).run(["list"])
     """
 
     def __init__(self, options):
@@ -33,16 +33,16 @@
             return 2
         try:
             asyncio.run(command(*args[1:]))
-        except (BootFault, DeskFault) as e:
+        except (SettingsError, PolicyClientError) as e:
             print(f"archhatch: {e}", file=sys.stderr)
             return 1
         return 0
 
     async def _call(self, method: str, path: str = "") -> dict:
-        async with ControlPlane(read_boot(self.options.settings)) as control:
+        async with ControlPlane(read_settings(self.options.settings)) as control:
             status, answer = await control.call(method, f"/api/duties{path}")
         if status != 200:
-            raise DeskFault(f"code {answer.get('Error')} {answer.get('Says')}: {answer.get('Why')}")
+            raise PolicyClientError(f"code {answer.get('Error')} {answer.get('Says')}: {answer.get('Why')}")
         return answer
 
     async def _list(self) -> None:
--- a/archhatch/singleton_roles/commands.py
+++ b/archhatch/singleton_roles/commands.py
@@ -12,8 +12,8 @@
 
 from ..consensus import Commands
 from . import state_machine as machine
-from .state_machine import DutyRefused
-from .record import DutyRecord, DutyState, Holder
+from .state_machine import RoleRequestRefused
+from .record import SingletonRole, RoleState, LeaseHolder
 
 DONE = 1000
 KEEP_FINISHED = 8  # finished effects of each kind that are kept
@@ -40,11 +40,11 @@
         @commands.on(name)
         def run(val, args):
             before = val.get("duties", {}).get(args["key"])
-            record = DutyRecord.read(before)
-            holder = Holder(args["node"], args.get("life", ""))
+            record = SingletonRole.read(before)
+            holder = LeaseHolder(args["node"], args.get("life", ""))
             try:
                 answer = fn(val, record, holder, args)
-            except DutyRefused as e:
+            except RoleRequestRefused as e:
                 return e.code, e.doc, False
             after = record.doc()
             if after != before:
@@ -63,20 +63,20 @@
     return {"cached": False, "fence": outcome.fence, "prior": outcome.prior.value, "intent": outcome.intent}
 
 
-def _lapsed(record: DutyRecord, args: dict) -> bool:
+def _lapsed(record: SingletonRole, args: dict) -> bool:
     """Whether the node that runs the command has seen this very grant or renewal outlive its length."""
     return args.get("seen") == [record.fence, record.renewals] and args.get("seen_s", 0.0) >= record.lease_s
 
 
-def _under(val: dict, holder: Holder, args: dict) -> None:
-    """DutyRefused unless the caller holds the lease that an effect stands under."""
+def _under(val: dict, holder: LeaseHolder, args: dict) -> None:
+    """RoleRequestRefused unless the caller holds the lease that an effect stands under."""
     lease_key = split_key(args["key"])[0]
-    machine.check_holder(DutyRecord.read(val.get("duties", {}).get(lease_key)), holder, args["fence"])
+    machine.check_holder(SingletonRole.read(val.get("duties", {}).get(lease_key)), holder, args["fence"])
 
 
 def _bounded(doc: object) -> object:
     if len(orjson.dumps(doc)) > MOST_BYTES:
-        raise DutyRefused(machine.TOO_LARGE)
+        raise RoleRequestRefused(machine.TOO_LARGE)
     return doc
 
 
@@ -104,7 +104,7 @@
     _under(val, holder, args)
     _, kind, number = split_key(args["key"])
     if record.fence == 0 and number <= val.get("floors", {}).get(kind, 0):
-        raise DutyRefused(machine.UNKNOWN_DUTY, "it was done, and is forgotten")
+        raise RoleRequestRefused(machine.UNKNOWN_DUTY, "it was done, and is forgotten")
     return _answer(machine.intend(record, holder, args["fence"], _bounded(args["intent"])))
 
 
@@ -125,7 +125,7 @@
 @_command("duty.reset")
 def _reset(val, record, holder, args):
     if args["key"] not in val.get("duties", {}):
-        raise DutyRefused(machine.UNKNOWN_DUTY, args["key"])
+        raise RoleRequestRefused(machine.UNKNOWN_DUTY, args["key"])
     machine.reset(record, holder.node)
 
 
@@ -145,7 +145,7 @@
     """Forget the oldest finished effects of each kind beyond those that are kept; their numbers are not begun again."""
     finished: dict[str, list] = {}
     for key, doc in val["duties"].items():
-        if _is_effect(key) and doc["state"] == DutyState.COMMITTED.value:
+        if _is_effect(key) and doc["state"] == RoleState.COMMITTED.value:
             finished.setdefault(split_key(key)[1], []).append(key)
     floors = val.setdefault("floors", {})
     for kind, keys in finished.items():
--- a/archhatch/singleton_roles/effect.py
+++ b/archhatch/singleton_roles/effect.py
@@ -10,7 +10,7 @@
 Step = Callable[[object], Awaitable[object]]
 
 
-class EffectFailed(Exception):
+class EffectFailedError(Exception):
     """Raised by an act that can never succeed as it stands: the effect is FAILED until an operator resets it."""
 
 
@@ -18,8 +18,8 @@
     """The result of an effect, which is done if it was not done before.
 
     act gets the intent that the ledger keeps: this one, or that of the holder who began the effect. observe gets it
-    too, after an expiry only, and gives the result if it finds the effect done, else None. DutyCallFailed if the lease
-    has ended or the ledger refuses; EffectFailed as act raised it.
+    too, after an expiry only, and gives the result if it finds the effect done, else None. RoleCallError if the lease
+    has ended or the ledger refuses; EffectFailedError as act raised it.
     """
     begun = await lease.call("duty.intend", key, intent=intent)
     if begun["cached"]:
@@ -30,7 +30,7 @@
     if result is None:
         try:
             result = await act(begun["intent"])
-        except EffectFailed as e:
+        except EffectFailedError as e:
             await lease.call("duty.fail", key, error=str(e))
             raise
     await lease.call("duty.commit", key, result=result)
--- a/archhatch/singleton_roles/lease.py
+++ b/archhatch/singleton_roles/lease.py
@@ -7,7 +7,7 @@
 
 from ..rpc import CallError
 from .state_machine import SHORTEST_LEASE_S
-from .record import DutyState, PriorState
+from .record import RoleState, PriorState
 
 DONE = 1000
 RENEW_FROM = 0.65  # of the lease
@@ -24,7 +24,7 @@
     prior: PriorState
 
 
-class DutyCallFailed(Exception):
+class RoleCallError(Exception):
     """The ledger refused a call or gave no clear answer; carries the numbered code."""
 
     def __init__(self, code: int, doc: object = None):
@@ -55,13 +55,13 @@
         return self.tenancy is not None and self.st.clock.now() < self._until - self.lease_s * MARGIN
 
     async def call(self, name: str, key: str, **args) -> dict | None:
-        """Run a command under the lease's fence; DutyCallFailed unless it was carried out."""
+        """Run a command under the lease's fence; RoleCallError unless it was carried out."""
         tenancy = self.tenancy
         if tenancy is None:
-            raise DutyCallFailed(2302)
+            raise RoleCallError(2302)
         code, doc = await self._run(name, {"key": key, "fence": tenancy.fence, **args})
         if code != DONE:
-            raise DutyCallFailed(code, doc)
+            raise RoleCallError(code, doc)
         return doc
 
     # -- holding
@@ -140,6 +140,6 @@
     def holder_hint(self) -> str | None:
         """The name of the node that held the lease in the newest state seen here."""
         duty = self.st.ledger.duties(self.namespace).get(self.namespace)
-        if duty is None or duty["state"] != DutyState.RUNNING.value:
+        if duty is None or duty["state"] != RoleState.RUNNING.value:
             return None
         return duty["holder"][0]
--- a/archhatch/singleton_roles/record.py
+++ b/archhatch/singleton_roles/record.py
@@ -12,7 +12,7 @@
 AUDIT_KEPT = 12  # entries of a record's audit trail that are kept
 
 
-class DutyState(str, Enum):
+class RoleState(str, Enum):
     """The life of a duty. EXPIRED is written when the next holder takes over from one that fell silent."""
 
     IDLE = "IDLE"
@@ -31,13 +31,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holder:
+class LeaseHolder:
     """One life of a node's process."""
 
     node: str  # the node's name
     life: str  # drawn at random when the process starts
 
-    def same_machine(self, other: Holder | None) -> bool:
+    def same_machine(self, other: LeaseHolder | None) -> bool:
         """Whether both are processes of one machine; the earlier has ended when the later starts."""
         return other is not None and other.node == self.node
 
@@ -52,12 +52,12 @@
 
 
 @dataclass(slots=True)
-class DutyRecord:
+class SingletonRole:
     """All that the ledger keeps of one duty."""
 
-    state: DutyState = DutyState.IDLE
+    state: RoleState = RoleState.IDLE
     fence: int = 0  # of the last grant; only rises
-    holder: Holder | None = None  # of the last grant
+    holder: LeaseHolder | None = None  # of the last grant
     prior: PriorState = PriorState.NONE  # what the holder was told
     lease_s: float = 0.0  # for so long a grant or renewal holds; after a release, how long others have to wait
     renewals: int = 0  # since the grant
@@ -72,20 +72,20 @@
         del self.audit[:-AUDIT_KEPT]
 
     @classmethod
-    def read(cls, doc: dict | None) -> DutyRecord:
+    def read(cls, doc: dict | None) -> SingletonRole:
         """From a register's value; a new record where there is none."""
         if doc is None:
             return cls()
-        holder = Holder(*doc["holder"]) if doc["holder"] else None
+        holder = LeaseHolder(*doc["holder"]) if doc["holder"] else None
         audit = [AuditEntry(*entry) for entry in doc["audit"]]
-        fields = {**doc, "state": DutyState(doc["state"]), "prior": PriorState(doc["prior"])}
+        fields = {**doc, "state": RoleState(doc["state"]), "prior": PriorState(doc["prior"])}
         return cls(**{**fields, "holder": holder, "audit": audit})
 
     def doc(self) -> dict:
         """For a register's value.
 
-        >>> DutyRecord.read(DutyRecord(fence=3, holder=Holder("a", "x")).doc()).holder
-        Holder(node='a', life='x')
+        >>> SingletonRole.read(SingletonRole(fence=3, holder=LeaseHolder("a", "x")).doc()).holder
+        LeaseHolder(node='a', life='x')
         """
         doc = asdict(self)
         doc["state"], doc["prior"] = self.state.value, self.prior.value
--- a/archhatch/singleton_roles/register_host.py
+++ b/archhatch/singleton_roles/register_host.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from ..consensus import Acceptor, Proposer, Unclear, members
+from ..consensus import Acceptor, Proposer, UnclearResultError, members
 from ..membership import rank
 from ..rpc import CallError, Refusal
 from ..wal import LogError, WriteAheadLog
@@ -30,10 +30,10 @@
 PART, STATE = "p", "s"  # names in the log's records, as those of the control plane's registers
 
 
-class LedgerHost:
+class RoleRegisterHost:
     """Runs duty commands on the namespaces' registers, wherever their owners are.
 
-    >>> # host = LedgerHost(store); host.load(); code, doc = await host.run("duty.list", {"key": "accounting"})
+    >>> # host = RoleRegisterHost(store); host.load(); code, doc = await host.run("duty.list", {"key": "accounting"})
     """
 
     def __init__(self, store):
@@ -183,7 +183,7 @@
             args = {**args, **self.watch.args(args["key"], self.st.clock.now())}
         try:
             return await self.proposers[namespace].do(name, args, self.st.boot.secs("ContactMs", WITHIN))
-        except Unclear:
+        except UnclearResultError:
             return UNREACHED, None
 
     async def _ask(self, addr: str, verb: str, doc: dict) -> dict | None:
--- a/archhatch/store/evacuation.py
+++ b/archhatch/store/evacuation.py
@@ -3,8 +3,8 @@
 
 from __future__ import annotations
 
-from ..jobs import Lot, active
-from ..evacuation.record import Move, Place, State
+from ..jobs import BatchJob, active
+from ..evacuation.record import Move, Place, EvacuationState
 from ..rollout_controller.repair import BURST
 
 ROLLOUTS = ("rollout", "batch")
@@ -44,7 +44,7 @@
         if not moves or moves[0] is None or any(move is not moves[0] for move in moves):
             return None
         move = moves[0]
-        decided = move.placed is Place.TARGET or move.state is State.RETURNING
+        decided = move.placed is Place.TARGET or move.state is EvacuationState.RETURNING
         return move.here if decided else None
 
     def leads_elsewhere(self, run: str) -> bool:
@@ -140,7 +140,7 @@
             for entry in locked
         )
 
-    def _is_moved(self, lot: Lot, move: Move) -> bool:
+    def _is_moved(self, lot: BatchJob, move: Move) -> bool:
         lane = self.st.plan.lane(lot.host, lot.path.split("?", 1)[0])
         rule = None if lane is None else self.st.placement.rule(lane)
         return rule is not None and rule.name in move.rules
--- a/archhatch/store/handlers.py
+++ b/archhatch/store/handlers.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from ..jobs import Deposed
+from ..jobs import DeposedError
 from ..jobs.record import pack_many, unpack_many
 from ..rpc import Handlers, Refusal
-from ..rollout_controller import Reign
+from ..rollout_controller import LeadershipTerm
 from ..wal import LogError
 
 
@@ -85,7 +85,7 @@
 
     # -- batches of work, for edges
 
-    def _reign_of(self, lid: str) -> Reign:
+    def _reign_of(self, lid: str) -> LeadershipTerm:
         reigns = self.st.reigns.values()
         if any(lid in reign.pending for reign in reigns if reign.state == "holding"):
             raise Refusal(3004)
@@ -96,7 +96,7 @@
             raise Refusal(3004)
         raise Refusal(2007)
 
-    def _signed(self, reign: Reign) -> dict:
+    def _signed(self, reign: LeadershipTerm) -> dict:
         """What an answer says of its giver, so that another's answer is not taken for the holder's."""
         return {"run": reign.run, "me": self.st.id, "term": reign.term}
 
@@ -110,7 +110,7 @@
             raise Refusal(3004 if may_be_taken(self.st, doc["run"], doc["lot"]) else 3008)
         try:
             await reign.put(doc, body)
-        except Deposed:
+        except DeposedError:
             reign.over()
             raise Refusal(3004) from None
         return self._signed(reign)
@@ -135,7 +135,7 @@
         reign = self._reign_of(doc["lot"])
         try:
             await reign.end(doc["lot"])
-        except Deposed:
+        except DeposedError:
             reign.over()
             raise Refusal(3004) from None
         return self._signed(reign)
--- a/archhatch/store/heartbeat.py
+++ b/archhatch/store/heartbeat.py
@@ -16,14 +16,14 @@
 
 
 @dataclass(frozen=True)
-class HeartbeatWord:
+class HeartbeatStatus:
     """A store's word about itself.
 
     promised: the terms that it promised, by run; None while it has not learned all of them and proves nothing.
     leads: None from a store that does not say what it leads.
 
-    >>> word = HeartbeatWord(card={"id": "a"}, promised={"r": 2}, leads={"r": Leading(2, 0.5, ("b",))})
-    >>> HeartbeatWord.read(word.doc()) == word
+    >>> word = HeartbeatStatus(card={"id": "a"}, promised={"r": 2}, leads={"r": Leading(2, 0.5, ("b",))})
+    >>> HeartbeatStatus.read(word.doc()) == word
     True
     """
 
@@ -57,7 +57,7 @@
         }
 
     @classmethod
-    def read(cls, doc: dict) -> HeartbeatWord:
+    def read(cls, doc: dict) -> HeartbeatStatus:
         """The word in a document; a store of an earlier version says less."""
         leads = doc.get("leads")
         if leads is not None:
--- a/archhatch/store/join.py
+++ b/archhatch/store/join.py
@@ -5,7 +5,7 @@
 import asyncio
 import random
 
-from ..routing import Plan
+from ..routing import RoutingTable
 from ..wal import LogError
 
 LEASE_REGISTERS = ("p0", "p1", "p2")  # the registers that hold the runs' leases
@@ -13,10 +13,10 @@
 CALM = 5  # heartbeats between looks while nothing changes
 
 
-class Joining:
+class StoreJoin:
     """Follows the news of the registers for this store.
 
-    >>> # joining = Joining(store); crew.keep("parts", joining.run)
+    >>> # joining = StoreJoin(store); crew.keep("parts", joining.run)
     """
 
     def __init__(self, store):
@@ -43,7 +43,7 @@
             st.log.info("placement policy: {}", st.placement)
         plan = register.get("plan")
         if plan is not None and (st.plan is None or plan["Revision"] > st.plan.stamp):
-            st.plan = Plan(plan)
+            st.plan = RoutingTable(plan)
             st.live_services = st.plan.live_services()
 
     async def join(self) -> None:
--- a/archhatch/store/lease_watch.py
+++ b/archhatch/store/lease_watch.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from ..membership import rank
-from ..rollout_controller import Reign
+from ..rollout_controller import LeadershipTerm
 from .lease import OthersLease, OwnLease, Phase, Step, others_step, own_step
 
 IDLE = 1.0  # of ContactMs: a holder that made no progress for so long leads nothing
@@ -193,7 +193,7 @@
             if old.term >= term:
                 return
             old.over()
-        reign = st.reigns[run] = Reign(st, run, term)
+        reign = st.reigns[run] = LeadershipTerm(st, run, term)
         st.crew.once("reign", reign.begin)
 
     async def hand_on(self, run: str, term: int) -> bool:
--- a/archhatch/store/membership.py
+++ b/archhatch/store/membership.py
@@ -5,9 +5,9 @@
 import asyncio
 
 from ..jobs import active
-from ..membership import Neighbours
+from ..membership import PeerSet
 from ..rpc import CallError
-from .heartbeat import HeartbeatWord
+from .heartbeat import HeartbeatStatus
 
 SLOW = 4.0  # times later than the middle one's timers: a node that should not lead
 SLOW_FLOOR = 0.4  # of a heartbeat: timers that are late by less say nothing
@@ -22,11 +22,11 @@
 
     def __init__(self, store):
         self.st = store
-        self.cards = Neighbours()
+        self.cards = PeerSet()
         self.woke = store.clock.now()  # the end of this node's last stand-still, or its start
         self.met: dict[str, float] = {}  # when this node first heard of a store
         self.proofs: dict[str, tuple] = {}  # store -> (when it was asked, the terms that it had promised)
-        self.words: dict[str, HeartbeatWord] = {}
+        self.words: dict[str, HeartbeatStatus] = {}
         self._pings: dict[str, asyncio.Task] = {}
         self.lag = 0.0  # how late this node's timers are, lately
 
@@ -128,10 +128,10 @@
 
     # -- heartbeats
 
-    def word(self) -> HeartbeatWord:
+    def word(self) -> HeartbeatStatus:
         """What others are told at a ping. A store that has not read all terms yet proves nothing about them."""
         st = self.st
-        return HeartbeatWord(
+        return HeartbeatStatus(
             st.card(),
             st.shelf.promised if st.ready else None,
             self.lag,
@@ -145,7 +145,7 @@
 
     def hear(self, doc: dict, asked_at: float) -> None:
         """Take up a store's word, given in answer to a ping that was sent at asked_at."""
-        word = HeartbeatWord.read(doc)
+        word = HeartbeatStatus.read(doc)
         sid = word.card["id"]
         self.cards.hear(word.card, self.st.clock.now())
         before, self.words[sid] = self.words.get(sid), word
--- a/archhatch/store/node.py
+++ b/archhatch/store/node.py
@@ -11,14 +11,14 @@
 from ..autoscaler.controller import CapacityController
 from ..jobs import Quorum, RecordStore, Replicator
 from ..platform_client import PlatformClient
-from ..share_group import Leader, Worker
-from ..routing import Plan
-from ..membership import Newsreader
-from ..runtime import Board, Clock, Counters, Crew
-from ..singleton_roles.register_host import LedgerHost
+from ..share_group import PartitionLeader, Worker
+from ..routing import RoutingTable
+from ..membership import ConfigWatcher
+from ..runtime import StateBoard, Clock, Counters, TaskGroup
+from ..singleton_roles.register_host import RoleRegisterHost
 from ..rpc import CallError, ConnectionPool, Handlers, Refusal, Server
-from ..upstream import Caller, Picker
-from ..rollout_controller import Engines, Orders, Reign
+from ..upstream import UpstreamClient, LoadBalancer
+from ..rollout_controller import Engines, WeightOrders, LeadershipTerm
 from ..rollout_controller.leadership_term import fetch_over
 from ..usage.reporter import UsageReporter
 from ..wal import WriteAheadLog
@@ -26,7 +26,7 @@
 from .disk import DiskState
 from .evacuation import EvacuationSupport
 from .handlers import StoreHandlers
-from .join import Joining
+from .join import StoreJoin
 from .lease_watch import LeaseWatch
 from .membership import Membership
 from .proxy import RequestProxy
@@ -43,8 +43,8 @@
         self.boot, self.log = boot, log
         self.clock = clock or Clock()
         self.ctr = Counters()
-        self.crew = Crew(log, self.ctr)
-        self.board = Board()
+        self.crew = TaskGroup(log, self.ctr)
+        self.board = StateBoard()
         self.lines = ConnectionPool(self.ctr)
         self.port = boot.ports[0] + 1
         self.life = f"{random.getrandbits(48):012x}"
@@ -52,21 +52,21 @@
         self.quiet_s = boot.secs("ContactMs", 0.25)
         self.quorum = Quorum.of(boot)
         self.engines = Engines()
-        self.picker = Picker(boot.zone, boot.node, rest_s=boot.secs("ContactMs", 0.2), widen=0.5)
+        self.picker = LoadBalancer(boot.zone, boot.node, rest_s=boot.secs("ContactMs", 0.2), widen=0.5)
         self.placement = self.picker.placement
-        self.plan: Plan | None = None
-        self.reigns: dict[str, Reign] = {}
+        self.plan: RoutingTable | None = None
+        self.reigns: dict[str, LeadershipTerm] = {}
         self.live_services: set = set()
         self.ready = False  # it is a member, and knows all terms that were granted before it was one
         self.leaving = False
         self.disk = DiskState(self.clock, boot.secs("ContactMs"), self.ctr)
         self.membership = Membership(self)
         self.lease_watch = LeaseWatch(self)
-        self.joining = Joining(self)
+        self.joining = StoreJoin(self)
         self.repair = Repair(self)
         self.evacuation = EvacuationSupport(self)
         self.proxy = RequestProxy(self)
-        self.ledger = LedgerHost(self)
+        self.ledger = RoleRegisterHost(self)
         self.usage = UsageReporter(self)
         self.capacity = CapacityController(self)
         self.verbs = Handlers()
@@ -90,12 +90,12 @@
         if not self.shelf.id:
             await self.shelf.take_id(f"s-{random.getrandbits(64):016x}")
         self.ledger.load()
-        self.caller = Caller(counters=self.ctr)
+        self.caller = UpstreamClient(counters=self.ctr)
         self.picker.idle = self.caller.idle
         if self.boot.cloud is not None:
             platform = PlatformClient(self.boot.cloud, self.boot.node, self.caller, self.clock, self.ctr)
             self.usage.platform = self.capacity.platform = platform
-        self.news = Newsreader(self.boot, self.card(), self.lines, self.board, self.clock, self.ctr)
+        self.news = ConfigWatcher(self.boot, self.card(), self.lines, self.board, self.clock, self.ctr)
         self.news.proved = self.picker.proved
         self.copier = Replicator(
             self.id,
@@ -111,9 +111,9 @@
             watch=self.disk.watch,
             prefers=self.evacuation.preferred,
         )
-        self.leader = Leader(self, self.boot.share_lock_s, self.boot.share_locks)
+        self.leader = PartitionLeader(self, self.boot.share_lock_s, self.boot.share_locks)
         self.worker = Worker(self)
-        self.orders = Orders(self)
+        self.orders = WeightOrders(self)
         await self.desk.open(f"{self.boot.ip}:{self.port}")
         duties = {
             "news": self.news.run,
--- a/archhatch/upstream/__init__.py
+++ b/archhatch/upstream/__init__.py
@@ -1,9 +1,9 @@
 """Sends: one request to one replica, and what its answer proves."""
 
-from .client import Answer, Caller, Ran, StaleConnection, belongs, has_end, says_not_run
+from .client import Answer, UpstreamClient, Ran, StaleConnectionError, belongs, has_end, says_not_run
 from .headers import DEADLINE, ECHO, EXPECT_ID, EXPECT_REV, LOAD, NOT_RUN, PROMISES, SEAL, VERSIONS, pass_on
-from .connection_pool import AGAIN, ONCE, NotSent
-from .load_balancer import Picker, Trunkline
+from .connection_pool import AGAIN, ONCE, NotSentError
+from .load_balancer import LoadBalancer, ReplicaEndpoint
 
 __all__ = [
     "AGAIN",
--- a/archhatch/upstream/client.py
+++ b/archhatch/upstream/client.py
@@ -15,7 +15,7 @@
 from yarl import URL
 
 from .headers import DEADLINE, ECHO, EXPECT_ID, NOT_RUN, SEAL, pass_on
-from .connection_pool import AGAIN, ONCE, USE, KeptConnector, NotSent, Use
+from .connection_pool import AGAIN, ONCE, USE, PooledConnector, NotSentError, Use
 
 _QUIET = frozenset({"Accept", "Accept-Encoding", "User-Agent", "Content-Type"})
 
@@ -56,11 +56,11 @@
     return sock
 
 
-class StaleConnection(aiohttp.ServerDisconnectedError):
+class StaleConnectionError(aiohttp.ServerDisconnectedError):
     """A kept connection was reset before any answer: the replica had forgotten it. The request may have run."""
 
 
-class Caller:
+class UpstreamClient:
     """Holds the connections to replicas; sends requests as they are, byte for byte.
 
     >>> # ans = await caller.send("10.0.0.9:8080", "i-1", "POST", "/a/b", heads, body, rid="r", secs=1.0)
@@ -68,7 +68,7 @@
 
     def __init__(self, per_host: int = 0, now=time.monotonic, counters=None):
         self.now = now
-        self.kept = KeptConnector(
+        self.kept = PooledConnector(
             now,
             counters,
             limit=0,
@@ -117,9 +117,9 @@
 
         mode AGAIN: it may be repeated; when a kept connection turns out to be forgotten, it goes out once more at once.
         mode ONCE: it may run only once; it goes on a kept connection only where that is proven safe. Otherwise any kept
-        connection is used, and StaleConnection tells that it was forgotten.
+        connection is used, and StaleConnectionError tells that it was forgotten.
         may_send is asked once the connection is there, right before the write; if it says no, nothing is written, and
-        NotSent is raised.
+        NotSentError is raised.
         """
         out = CIMultiDict(pass_on(heads))
         if iid:
@@ -149,7 +149,7 @@
                 if resp is not None or not self.kept.was_reset(addr, use):
                     raise
                 if mode != AGAIN:
-                    raise StaleConnection(repr(e)) from e
+                    raise StaleConnectionError(repr(e)) from e
                 if secs > 0 and self.now() >= end:
                     raise
 
@@ -176,11 +176,11 @@
                 if not has_end(resp):
                     return Answer(Ran.MAYBE, resp.status, why="nothing tells where its body ends")
                 return judge(resp.status, list(resp.headers.items()), data)
-        except NotSent as e:
+        except NotSentError as e:
             return Answer(Ran.NO, why=repr(e), stale=True)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as e:
             return Answer(Ran.NO, why=repr(e), silent=True)  # there was no connection to send it on
-        except StaleConnection as e:
+        except StaleConnectionError as e:
             return Answer(Ran.MAYBE, why=repr(e), stale=True)
         except (asyncio.TimeoutError, TimeoutError) as e:
             return Answer(Ran.MAYBE, why=repr(e), silent=True)
--- a/archhatch/upstream/connection_pool.py
+++ b/archhatch/upstream/connection_pool.py
@@ -35,11 +35,11 @@
     may_send: Callable[[], bool] | None = None  # asked when the connection is there, right before the write
 
 
-class NotSent(aiohttp.ClientConnectionError):
+class NotSentError(aiohttp.ClientConnectionError):
     """The request may no longer be sent, and nothing of it was written."""
 
 
-class KeptProtocol(ResponseHandler):
+class PooledProtocol(ResponseHandler):
     """aiohttp's side of a connection, which ends when bytes come on it while no request waits: they belong to none."""
 
     resting = False
@@ -75,19 +75,19 @@
     reset_at: float = float("-inf")
 
 
-class KeptConnector(aiohttp.TCPConnector):
+class PooledConnector(aiohttp.TCPConnector):
     """aiohttp's connector, which uses the connection that idled least, and none that idled too long for the request.
 
     A replica may forget an idle connection without notice, and resets whatever comes on it next. A request that may run
     only once (Use.mode ONCE) therefore takes a kept connection only up to an idle time after which one served lately.
 
-    >>> # conn = KeptConnector(limit=0); conn.idle("10.0.0.9:8080")
+    >>> # conn = PooledConnector(limit=0); conn.idle("10.0.0.9:8080")
     """
 
     def __init__(self, now=time.monotonic, counters=None, **kw):
         super().__init__(**kw)
         self._counters = counters
-        self._factory = functools.partial(KeptProtocol, loop=self._loop)
+        self._factory = functools.partial(PooledProtocol, loop=self._loop)
         self._now = now
         self._keys: dict[str, tuple] = {}
         self._seen: dict[str, _Seen] = {}
@@ -145,7 +145,7 @@
         conn, use = await super().connect(req, traces, timeout), USE.get()
         if use is not None and use.may_send is not None and not use.may_send():
             conn.release()
-            raise NotSent("its time was over when the connection was there")
+            raise NotSentError("its time was over when the connection was there")
         return conn
 
     async def _create_connection(self, req, traces, timeout):
--- a/archhatch/upstream/load_balancer.py
+++ b/archhatch/upstream/load_balancer.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from ..region_policy import Placement
-from ..health import Fitness, Peers
+from ..health import ReplicaHealth, PeerStatistics
 from .client import Answer, Ran
 from .headers import LOAD
 from .subset import Subset
@@ -28,7 +28,7 @@
 
 
 @dataclass
-class Trunkline:
+class ReplicaEndpoint:
     """What this process knows of one replica."""
 
     iid: str
@@ -47,14 +47,14 @@
     sheds: int = 0  # times that it was full, since it served
     full_until: float = float("-inf")
     trial_at: int = -1000  # the service's count of picks at the last trial
-    fitness: Fitness = field(default_factory=Fitness)
+    fitness: ReplicaHealth = field(default_factory=ReplicaHealth)
 
 
 class _Pool:
     """What is kept for a service: its replicas in their order, how they do together, and how often one was picked."""
 
     def __init__(self, me: str, zone: str):
-        self.subset, self.peers = Subset(me, zone), Peers()
+        self.subset, self.peers = Subset(me, zone), PeerStatistics()
         self.picks, self.pace, self.paces = 0, 0.0, 0
         self.load, self.load_at = 0.0, float("-inf")  # the mean share of places in use, of what replicas told lately
 
@@ -65,23 +65,24 @@
         self.pace += max(0.02, 1.0 / self.paces) * (pace - self.pace)
 
 
-class Picker:
+class LoadBalancer:
     """Replicas by service, kept up to date from the roll; idle(address) tells where a connection is kept.
 
     widen is the share of its places in use from which a replica counts as busy: when all of a block of the subset are,
     the next block is looked at too. A node that is one of many wants few replicas, so a large share; one that makes all
     calls of a service itself wants all replicas, so 0.
 
-    >>> p = Picker("z1"); p.fold([{"id": "a", "addr": "1:1", "service": "s", "zone": "z1", "slots": 2, "state": "up"}])
+    >>> p = LoadBalancer("z1")
+    >>> p.fold([{"id": "a", "addr": "1:1", "service": "s", "zone": "z1", "slots": 2, "state": "up"}])
     >>> p.pick("s", set(), 0.0).iid
     'a'
     """
 
     def __init__(self, zone: str, me: str = "", rest_s: float = 1.0, widen: float = 0.0, idle=None):
         self.zone, self.me, self.rest_s, self.widen, self.idle = zone, me, rest_s, widen, idle
-        self.all: dict[str, Trunkline] = {}
+        self.all: dict[str, ReplicaEndpoint] = {}
         self.by_service: dict[str, dict] = {}
-        self.by_addr: dict[str, Trunkline] = {}
+        self.by_addr: dict[str, ReplicaEndpoint] = {}
         self.pools: dict[str, _Pool] = {}
         self.placement = Placement()
         self.proofs: dict[tuple, float] = {}  # (service, zone) -> the last answer; kept only under a policy
@@ -103,8 +104,8 @@
             if was and not t.silent:
                 t.fitness.hint()
 
-    def _add(self, ent: dict) -> Trunkline:
-        t = Trunkline(ent["id"], ent["addr"], ent["service"], ent["zone"], ent["slots"])
+    def _add(self, ent: dict) -> ReplicaEndpoint:
+        t = ReplicaEndpoint(ent["id"], ent["addr"], ent["service"], ent["zone"], ent["slots"])
         old = self.by_addr.get(t.addr)
         if old is not None:  # a new life at an address ends the one that was there
             self._drop(old)
@@ -114,24 +115,24 @@
         if pool is None:
             pool = self.pools[t.service] = _Pool(self.me, self.zone)
         pool.subset.add(t.iid, t.zone, t)
-        t.fitness = Fitness(pool.peers)
+        t.fitness = ReplicaHealth(pool.peers)
         return t
 
-    def _drop(self, t: Trunkline) -> None:
+    def _drop(self, t: ReplicaEndpoint) -> None:
         del self.all[t.iid]
         self.by_service[t.service].pop(t.iid, None)
         self._leave(t)
         if self.by_addr.get(t.addr) is t:
             del self.by_addr[t.addr]
 
-    def _leave(self, t: Trunkline) -> None:
+    def _leave(self, t: ReplicaEndpoint) -> None:
         pool = self.pools[t.service]
         pool.subset.drop(t.iid)
         pool.peers.leave(t.fitness)
 
     def pick(
         self, service: str, tried: set, now: float, lane=None, sure: bool = False, early: bool = False
-    ) -> Trunkline | None:
+    ) -> ReplicaEndpoint | None:
         """The best replica that was not tried yet, of as few as will do.
 
         sure: the request may run only once, so it is no trial of a replica that had a rest. early: it is out already;
@@ -187,10 +188,10 @@
         out, self.proofs = [[s, z, now - at] for (s, z), at in self.proofs.items()], {}
         return out
 
-    def _free(self, t: Trunkline, pool: _Pool, now: float) -> bool:
+    def _free(self, t: ReplicaEndpoint, pool: _Pool, now: float) -> bool:
         return self._busy(t, now) <= self.widen * t.slots and self._well(t, pool, now)
 
-    def _well(self, t: Trunkline, pool: _Pool, now: float) -> bool:
+    def _well(self, t: ReplicaEndpoint, pool: _Pool, now: float) -> bool:
         """It does well, and has a place free."""
         return (
             t.fitness.state == "fit"
@@ -199,13 +200,13 @@
             and self._slow(t, pool, now) < 1.0
         )
 
-    def _busy(self, t: Trunkline, now: float) -> float:
+    def _busy(self, t: ReplicaEndpoint, now: float) -> float:
         """Places in use there, as far as is known."""
         if now < t.full_until:
             return t.under_way + t.slots
         return t.under_way + (t.load if now - t.load_at < HEARD_S else 0.0)
 
-    def _used(self, t: Trunkline, pool: _Pool, now: float) -> float:
+    def _used(self, t: ReplicaEndpoint, pool: _Pool, now: float) -> float:
         """The share of its places in use. Who said nothing lately is taken to be as busy as the others: else each word
         of load would send the next request to a replica that is only unknown, on a new connection."""
         share = self._busy(t, now) / max(1, t.slots)
@@ -213,20 +214,20 @@
             share += min(MEAN_MOST, pool.load)
         return share
 
-    def _dark(self, t: Trunkline, now: float) -> bool:
+    def _dark(self, t: ReplicaEndpoint, now: float) -> bool:
         """Neither beats nor answers came lately. A missing beat alone is a hint that an answer refutes."""
         return t.silent and now - t.served_at > self.rest_s
 
-    def _slow(self, t: Trunkline, pool: _Pool, now: float) -> float:
+    def _slow(self, t: ReplicaEndpoint, pool: _Pool, now: float) -> float:
         """How many times more than its peers it takes; what was seen long ago counts less."""
         more = t.pace / max(0.5, pool.pace) - NEAR
         return more * self._left(t, now) if more > 0.0 else 0.0
 
-    def _left(self, t: Trunkline, now: float) -> float:
+    def _left(self, t: ReplicaEndpoint, now: float) -> float:
         """How much of what was seen of its pace still counts."""
         return 0.5 ** (max(0.0, now - t.pace_at) / (HALF_RESTS * self.rest_s))
 
-    def _cost(self, t: Trunkline, pool: _Pool, now: float, sure: bool) -> float:
+    def _cost(self, t: ReplicaEndpoint, pool: _Pool, now: float, sure: bool) -> float:
         slow = self._slow(t, pool, now)
         cost = self._used(t, pool, now) * (1.0 + slow) + SLOW * min(MOST_SLOW, slow)
         if t.zone != self.zone:
@@ -247,7 +248,7 @@
             cost += 1.0
         return cost + FAILS * fit.share(now) * (2.0 if sure else 1.0)
 
-    def judge(self, t: Trunkline, ans: Answer, now: float, took: float, typical: float) -> None:
+    def judge(self, t: ReplicaEndpoint, ans: Answer, now: float, took: float, typical: float) -> None:
         """Fold what an answer shows of a replica: its health, its pace and its load.
 
         >>> # picker.judge(line, ans, clock.now(), 0.02, lane.aim_s * 0.3)
@@ -266,13 +267,13 @@
         else:
             self.note(t, "faulted", now)
 
-    def _shed(self, t: Trunkline, now: float) -> None:
+    def _shed(self, t: ReplicaEndpoint, now: float) -> None:
         """It was full: load, no ill health."""
         t.fitness.note("shed", now, self.rest_s)
         t.full_until = now + HEARD_S * 2 ** min(t.sheds, MOST_SHEDS)
         t.sheds += 1
 
-    def note(self, t: Trunkline, what: str, now: float, took: float | None = None, typical: float = 0.1) -> None:
+    def note(self, t: ReplicaEndpoint, what: str, now: float, took: float | None = None, typical: float = 0.1) -> None:
         """Fold what a send showed."""
         t.fitness.note(what, now, self.rest_s)
         if what == "served":
@@ -286,7 +287,7 @@
             t.pace_at = now
             pool.fold_pace(rel)
 
-    def note_load(self, t: Trunkline, head: str, now: float) -> None:
+    def note_load(self, t: ReplicaEndpoint, head: str, now: float) -> None:
         """Fold a replica's own word on its load: running, waiting, slots."""
         try:
             run, wait, slots = (int(x) for x in head.split(","))
--- a/archhatch/usage/counter.py
+++ b/archhatch/usage/counter.py
@@ -44,10 +44,10 @@
         self.version += 1
 
 
-class UsageTeller:
+class UsageSender:
     """Counts an edge's requests and tells the sums.
 
-    >>> # teller = UsageTeller(edge); crew.keep("usage", teller.run); teller.began("tenant", clock.now())
+    >>> # teller = UsageSender(edge); crew.keep("usage", teller.run); teller.began("tenant", clock.now())
     """
 
     def __init__(self, boot, news, lines, clock, counters, life: str):
--- a/archhatch/usage/reporter.py
+++ b/archhatch/usage/reporter.py
@@ -10,9 +10,9 @@
 
 from ..platform_client import PlatformClient
 from ..singleton_roles.commands import split_key
-from ..singleton_roles.effect import EffectFailed, protect
-from ..singleton_roles.lease import DutyCallFailed, StandingLease
-from ..singleton_roles.record import DutyState
+from ..singleton_roles.effect import EffectFailedError, protect
+from ..singleton_roles.lease import RoleCallError, StandingLease
+from ..singleton_roles.record import RoleState
 from .collector import UsageCollector
 from .counter import NAMESPACE
 
@@ -76,7 +76,7 @@
 
     def _open(self, duties: dict) -> list:
         """Windows that were begun and not finished."""
-        running = [key for key, duty in duties.items() if "/" in key and duty["state"] == DutyState.RUNNING.value]
+        running = [key for key, duty in duties.items() if "/" in key and duty["state"] == RoleState.RUNNING.value]
         return sorted(running, key=lambda key: split_key(key)[2])
 
     def _due(self, duties: dict, now: float) -> list:
@@ -91,9 +91,9 @@
         intent = {"WindowId": window, "Counts": self.collector.counts(window)}
         try:
             await protect(self.lease, key, intent, self._send)
-        except DutyCallFailed as e:
+        except RoleCallError as e:
             self.st.ctr.add(f"usage.put_off.{e.code}")
-        except EffectFailed as e:
+        except EffectFailedError as e:
             self.st.log.error("usage of window {}: {}", window, e)
 
     async def _send(self, report: dict) -> str:
--- a/benchmarks/log_rewrite_memory.py
+++ b/benchmarks/log_rewrite_memory.py
@@ -11,7 +11,7 @@
 
 import orjson  # noqa: E402
 
-from archhatch.jobs import Record, RecordStore, read_lot  # noqa: E402
+from archhatch.jobs import Record, RecordStore, read_job  # noqa: E402
 from archhatch.runtime import Clock, Counters  # noqa: E402
 from archhatch.wal import WriteAheadLog  # noqa: E402
 
@@ -58,7 +58,7 @@
     note("start")
     await fill(store)
     note(f"all records (log {log.size >> 20} MB)")
-    lots = [read_lot(e["lot"].head, e["lot"].body, 0.0) for e in store.lots.values()]
+    lots = [read_job(e["lot"].head, e["lot"].body, 0.0) for e in store.lots.values()]
     note(f"{len(lots)} lots read in")
     old = list(inspect.signature(log.rewrite).parameters) == ["raws"]
     for n in (1, 2):
--- a/benchmarks/microbench.py
+++ b/benchmarks/microbench.py
@@ -14,12 +14,12 @@
 
 import orjson  # noqa: E402
 
-from archhatch.membership import Roll  # noqa: E402
+from archhatch.membership import ReplicaRegistry  # noqa: E402
 from archhatch.control.node import ControlNode  # noqa: E402
-from archhatch.control.peers import Told  # noqa: E402
+from archhatch.control.peers import PeerReport  # noqa: E402
 from archhatch.runtime import open_logs  # noqa: E402
-from archhatch.runtime.settings import check_boot  # noqa: E402
-from archhatch.upstream import Picker  # noqa: E402
+from archhatch.runtime.settings import check_settings  # noqa: E402
+from archhatch.upstream import LoadBalancer  # noqa: E402
 from archhatch.rollout_controller import Engines  # noqa: E402
 
 SIZES = (100, 1000, 10000)
@@ -57,7 +57,7 @@
 
 
 def picking(count):
-    p, ents = Picker(ZONES[0], "edge-1"), entries(count)
+    p, ents = LoadBalancer(ZONES[0], "edge-1"), entries(count)
     p.fold(ents)
 
     def churn(k):  # one replica of the service changes between two requests
@@ -68,7 +68,7 @@
     return {
         "pick": least(lambda k: p.pick("s0", set(), 0.0), calls),
         "pick after a change": least(churn, calls),
-        "fold, each entry new": least(lambda k: Picker(ZONES[0], "e").fold(ents), 1, 1) / count,
+        "fold, each entry new": least(lambda k: LoadBalancer(ZONES[0], "e").fold(ents), 1, 1) / count,
     }
 
 
@@ -81,7 +81,7 @@
 
 
 def rolls(count):
-    roll = Roll()
+    roll = ReplicaRegistry()
     for e in entries(count):
         roll.beat(e, 0.0)
     turn, beats = roll.turn - 1, roll.beat_turn - 1
@@ -93,7 +93,7 @@
 
 
 def news(count):
-    boot = check_boot(
+    boot = check_settings(
         {
             "NodeName": "c",
             "Role": "core",
@@ -143,7 +143,7 @@
 
 def beats(count):
     """What one beat of every replica costs on its way to another control node: microseconds and bytes a replica."""
-    boot = check_boot(
+    boot = check_settings(
         {
             "NodeName": "c",
             "Role": "core",
@@ -165,7 +165,7 @@
             a.roll.beat({**e, "seq": k + 2}, 0.0)
         raw = orjson.dumps(a.peers.ping_doc("b:1"))
         b.peers.take_roll(orjson.loads(raw)["roll"])
-        a.peers.told["b:1"] = Told("x", a.roll.beat_turn)
+        a.peers.told["b:1"] = PeerReport("x", a.roll.beat_turn)
         return len(raw)
 
     ping(0)
--- a/tests/capacity/test_capacity.py
+++ b/tests/capacity/test_capacity.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from archhatch.share_group import Leader
-from archhatch.capacity import Fit, Measure, SizeFault, Table, fit_line, read_size
+from archhatch.share_group import PartitionLeader
+from archhatch.capacity import Fit, Measure, SizeError, Table, fit_line, read_size
 from archhatch.capacity import measure as measure_module
 from archhatch.capacity.command import SCALE, SLOPES, Capacity
 from archhatch.capacity.hops import WAYS, weights_cut
@@ -156,7 +156,7 @@
 
 def test_a_fit_that_lacks_is_named(reckon):
     del reckon.fits["beat.http"]
-    with pytest.raises(SizeFault) as e:
+    with pytest.raises(SizeError) as e:
         reckon.rows()
     assert "Fits.beat.http" in str(e.value) and RECORDED in str(e.value)
 
@@ -193,7 +193,7 @@
     assert old in text
     path = tmp_path / "size.toml"
     path.write_text(text.replace(old, new, 1))
-    with pytest.raises(SizeFault) as e:
+    with pytest.raises(SizeError) as e:
         read_size(str(path))
     assert str(e.value).startswith(f"{path}: {field}: ")
 
@@ -212,13 +212,13 @@
     change(doc)
     path = tmp_path / "slopes.json"
     path.write_text(json.dumps(doc))
-    with pytest.raises(SizeFault) as e:
+    with pytest.raises(SizeError) as e:
         read_slopes(str(path))
     assert str(e.value).startswith(f"{path}: {field}: ")
 
 
 def test_a_file_that_is_not_there():
-    with pytest.raises(SizeFault) as e:
+    with pytest.raises(SizeError) as e:
         read_size("/nowhere.toml")
     assert "/nowhere.toml" in str(e.value)
 
@@ -229,7 +229,10 @@
 @pytest.mark.parametrize(
     "args, name",
     [
-        (("membership.replica_registry", "Roll", "bet"), "archhatch.membership.replica_registry: Roll.bet"),
+        (
+            ("membership.replica_registry", "ReplicaRegistry", "bet"),
+            "archhatch.membership.replica_registry: ReplicaRegistry.bet",
+        ),
         (("membership.rolls", "Roll"), "archhatch.membership.rolls"),
         (("membership.replica_registry", "Rolls"), "archhatch.membership.replica_registry: Rolls"),
     ],
@@ -266,7 +269,7 @@
 def test_measure_tells_what_it_could_not(odd_probes):
     @probe("gone", "bytes", "nothing", "nothing", (1, 2))
     async def _gone(n):
-        yield (lambda: need("membership.replica_registry", "Roll", "bet")), 1
+        yield (lambda: need("membership.replica_registry", "ReplicaRegistry", "bet")), 1
 
     @probe("changed", "bytes", "nothing", "nothing", (1, 2))
     async def _changed(n):
@@ -278,7 +281,7 @@
 
     said = []
     doc = Measure(say=said.append).run()
-    assert "Roll.bet" in doc["Absent"]["gone"] and "bet" in doc["Absent"]["changed"] and len(said) == 3
+    assert "ReplicaRegistry.bet" in doc["Absent"]["gone"] and "bet" in doc["Absent"]["changed"] and len(said) == 3
     assert doc["Fits"]["sound"]["slope"] == pytest.approx(2) and doc["Fits"]["sound"]["samples"] == [[1, 2], [2, 4]]
     assert {"Commit", "Dirty", "Python", "Repeats"} <= set(doc)
 
@@ -360,7 +363,7 @@
         async with PROBES[name].make(8) as (fn, _):
             await fn()
 
-    monkeypatch.setattr(Leader, "_hand_out", lambda self, part, seat, now: [])
+    monkeypatch.setattr(PartitionLeader, "_hand_out", lambda self, part, seat, now: [])
     with pytest.raises(ValueError, match="a batch of 0"):
         run(once())
 
@@ -382,7 +385,7 @@
     del doc["Runs"][0]["Steady"]["core"][0]["cpu"]
     path = tmp_path / "scale.json"
     path.write_text(json.dumps(doc))
-    with pytest.raises(SizeFault) as e:
+    with pytest.raises(SizeError) as e:
         read_scale(str(path))
     assert str(e.value).startswith(f"{path}: Runs.0.Steady.core.0.cpu: ")
 
--- a/tests/consensus/test_consensus.py
+++ b/tests/consensus/test_consensus.py
@@ -7,7 +7,7 @@
 from tests.support.fakes import MemBook
 
 from archhatch.runtime import Counters
-from archhatch.consensus import Commands, Acceptor, Proposer, Unclear, covers, majority
+from archhatch.consensus import Commands, Acceptor, Proposer, UnclearResultError, covers, majority
 
 commands = Commands()
 
@@ -142,9 +142,9 @@
         net = Net("abc")
         await net.do("a", "put", v=1)
         net.cut = {"b", "c"}
-        with pytest.raises(Unclear):
+        with pytest.raises(UnclearResultError):
             await net.do("a", "put", v=2, match=9)  # would be a 412 if this node alone were believed
-        with pytest.raises(Unclear):
+        with pytest.raises(UnclearResultError):
             await net.do("a", "get")
 
     run(go())
@@ -211,7 +211,7 @@
         await net.do("a", "put", v=2, match=1)
         net.wipe("a", "n")
         net.cut = {"b"}
-        with pytest.raises(Unclear):
+        with pytest.raises(UnclearResultError):
             await net.do("c", "get")
 
     run(go())
@@ -320,7 +320,7 @@
         net = Net("abcde")
         await net.do("a", "put", v=1)
         net.split = {"a", "b"}
-        with pytest.raises(Unclear):
+        with pytest.raises(UnclearResultError):
             await net.do("a", "put", v=2, match=1)
         assert await net.do("c", "put", v=3, match=1) == (1000, 3)
         net.split = None
@@ -349,7 +349,7 @@
             return other(ans) if addr == "b" and ans is not None else ans
 
         own._ask = turned
-        with pytest.raises(Unclear):
+        with pytest.raises(UnclearResultError):
             await own.do("put", {"v": 2})
         assert count is None or net.nodes["a"]["ctr"].all[count] >= 1
         own._ask = ask
--- a/tests/consensus/test_proposal_number.py
+++ b/tests/consensus/test_proposal_number.py
@@ -6,7 +6,7 @@
 import pytest
 from tests.support.fakes import MemBook
 
-from archhatch.consensus import Acceptor, Ballot, Commands, Proposer, Unclear
+from archhatch.consensus import Acceptor, ProposalNumber, Commands, Proposer, UnclearResultError
 from archhatch.runtime import Counters
 
 VOTERS = dict(zip("abc", "abc"))
@@ -85,7 +85,7 @@
         group = Group()
         group.disks["a"].stalled = True
         group.cut = {("a", "c", "part.accept")}
-        with pytest.raises(Unclear):
+        with pytest.raises(UnclearResultError):
             await group.proposer("a", first).do("set", {"x": "X", "match": 0})  # accepted by b alone
         group.disks["a"] = Disk()  # what was not synced is gone
         group.start("a")
@@ -114,7 +114,7 @@
         acceptor = Acceptor("plan", MemBook(), Counters())
         assert (await acceptor.prepare(promised))["ok"]
         assert (await acceptor.prepare(asked))["ok"] is ok
-        assert acceptor.promised == max(Ballot.read(promised), Ballot.read(asked))
+        assert acceptor.promised == max(ProposalNumber.read(promised), ProposalNumber.read(asked))
 
     run(go())
 
--- a/tests/control/test_api_requests.py
+++ b/tests/control/test_api_requests.py
@@ -1,7 +1,16 @@
 import orjson
 import pytest
 
-from archhatch.control.api_requests import BadCall, Beat, GetPlan, Leave, PutPlan, PutVersion, Retire, decode
+from archhatch.control.api_requests import (
+    InvalidRequestError,
+    HeartbeatRequest,
+    GetPlan,
+    DeregisterRequest,
+    PutPlan,
+    PutVersion,
+    Retire,
+    decode,
+)
 
 BEAT = {
     "Service": "s",
@@ -17,8 +26,8 @@
 @pytest.mark.parametrize(
     "method, path, heads, doc, kind",
     [
-        ("PUT", "/api/instances/i-1", {}, BEAT, Beat),
-        ("DELETE", "/api/instances/i%2F1", {}, None, Leave),
+        ("PUT", "/api/instances/i-1", {}, BEAT, HeartbeatRequest),
+        ("DELETE", "/api/instances/i%2F1", {}, None, DeregisterRequest),
         ("PUT", "/api/config", {"If-Match": "5"}, {"Revision": 6}, PutPlan),
         ("PATCH", "/api/config", {"If-Match": '"5"'}, {"Revision": 6}, PutPlan),
         ("GET", "/api/config", {}, None, GetPlan),
@@ -55,7 +64,7 @@
     ],
 )
 def test_bad_calls(method, path, heads, body, code):
-    with pytest.raises(BadCall) as e:
+    with pytest.raises(InvalidRequestError) as e:
         decode(method, path, heads, body)
     assert e.value.code == code
 
@@ -75,6 +84,6 @@
     ],
 )
 def test_malformed_beats(change):
-    with pytest.raises(BadCall) as e:
+    with pytest.raises(InvalidRequestError) as e:
         decode("PUT", "/api/instances/i", {}, orjson.dumps({**BEAT, **change}))
     assert e.value.code == 2004
--- a/tests/control/test_config_commands.py
+++ b/tests/control/test_config_commands.py
@@ -7,8 +7,8 @@
 from tests.support.fakes import MemBook
 from tests.routing.test_routing import GOOD, changed
 
-from archhatch.consensus import Acceptor, Proposer, Unclear
-from archhatch.control.api_requests import MOST_VERSION, BadCall, decode
+from archhatch.consensus import Acceptor, Proposer, UnclearResultError
+from archhatch.control.api_requests import MOST_VERSION, InvalidRequestError, decode
 from archhatch.control.config_commands import KEEP_REFUSED, KEEP_TAKEN
 from archhatch.control.registers import commands
 from archhatch.runtime import Counters
@@ -81,7 +81,7 @@
     ],
 )
 def test_numbers_that_no_change_may_have(heads, body, code):
-    with pytest.raises(BadCall) as fault:
+    with pytest.raises(InvalidRequestError) as fault:
         decode("PUT", "/api/config", heads, body)
     assert fault.value.code == code
 
@@ -127,7 +127,9 @@
         await asyncio.sleep(0)
         if end == "caller gone":
             task.cancel()
-        assert isinstance((await asyncio.gather(task, return_exceptions=True))[0], (Unclear, asyncio.CancelledError))
+        assert isinstance(
+            (await asyncio.gather(task, return_exceptions=True))[0], (UnclearResultError, asyncio.CancelledError)
+        )
         assert (await proposer.do("plan.get", {}))[0] == 3001 and "plan" not in acceptor.state["val"]
 
     run(go())
--- a/tests/control/test_control_safety.py
+++ b/tests/control/test_control_safety.py
@@ -11,8 +11,8 @@
 from archhatch.control.agreement import Registers
 from archhatch.control.contact import MajorityContact, ServingGate
 from archhatch.consensus.reconfiguration import GroupSize, Patience, Sight, wanted_group
-from archhatch.control.store_membership import StoreDuty
-from archhatch.membership import Neighbours
+from archhatch.control.store_membership import StoreMembershipController
+from archhatch.membership import PeerSet
 from archhatch.runtime import Counters
 
 VOTERS = {"a": "a:1", "b": "b:1", "c": "c:1"}
@@ -155,19 +155,19 @@
 
 
 class Duty:
-    """What StoreDuty needs of a control node: f = 1, SyncS 10, ContactMs 3000."""
+    """What StoreMembershipController needs of a control node: f = 1, SyncS 10, ContactMs 3000."""
 
     def __init__(self, silent, joined_at):
         names = list(silent)
         self.started, self.said = 0.0, []
         self.boot = SimpleNamespace(secs=lambda name, ratio=1.0: {"SyncS": 10.0, "ContactMs": 3.0}[name] * ratio)
         self.clock, self.log, self.quorum = HandClock(100.0), SimpleNamespace(info=lambda *a: None), Quorum(1)
-        self.stores = Neighbours()
+        self.stores = PeerSet()
         for name, seconds in silent.items():
             self.stores.hear({"id": name, "name": name}, 100.0 - seconds)
         members = {n: {"name": n, "zone": "z", "state": "active", "no": i} for i, n in enumerate(names)}
         self.registers = SimpleNamespace(owns=lambda part: True, known={"plan": {"val": {"stores": members}}})
-        self.duty = StoreDuty(self)
+        self.duty = StoreMembershipController(self)
         self.duty._joined = {n: joined_at.get(n, 1.0) for n in names}
 
     async def try_command(self, part, name, args):
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -9,9 +9,9 @@
 
 from archhatch.control.feed import ConfigFeed
 from archhatch.control.history import KEEP_CHANGES, RegisterHistory
-from archhatch.membership import Newsreader
+from archhatch.membership import ConfigWatcher
 from archhatch.membership.delta import apply, apply_all, diff
-from archhatch.runtime import Board, Counters
+from archhatch.runtime import StateBoard, Counters
 
 
 def rows(*names, **more):
@@ -86,7 +86,8 @@
         agreed_time = types.SimpleNamespace(known=False)
         self.node = types.SimpleNamespace(
             agreed_time=agreed_time,
-            clock=HandClock(), registers=registers, live=live, peers=peers, cores=cores, board=Board(), quiet_s=1.0,
+            clock=HandClock(), registers=registers, live=live, peers=peers, cores=cores, board=StateBoard(),
+            quiet_s=1.0,
             regions=types.SimpleNamespace(heed=lambda words: None), leaving=False, serving=lambda: True, life="L",
             id="core", addr="10.0.0.1:7380", ctr=Counters(), available=lambda i: True,
             roll=types.SimpleNamespace(turn=0, since=lambda turn: []),
@@ -98,7 +99,7 @@
 
     def reader(self):
         boot = types.SimpleNamespace(ports=(7380, 7390), seeds=("10.0.0.1:1",), secs=lambda name, ratio=1.0: ratio)
-        return Newsreader(boot, {"id": "e", "klass": "edge"}, None, Board(), HandClock(), Counters())
+        return ConfigWatcher(boot, {"id": "e", "klass": "edge"}, None, StateBoard(), HandClock(), Counters())
 
     async def bring(self, reader):
         doc = {"live": {}, "busy": [], "who": reader.card, "stamps": reader.stamps, "life": reader.life}
--- a/tests/data_plane/test_at_most_once.py
+++ b/tests/data_plane/test_at_most_once.py
@@ -8,9 +8,9 @@
 from aiohttp import web
 from tests.support.fakes import HandClock
 
-from archhatch.routing import Plan
-from archhatch.runtime import Board, Clock, Counters, Result
-from archhatch.upstream import ONCE, Caller, Picker, Ran
+from archhatch.routing import RoutingTable
+from archhatch.runtime import StateBoard, Clock, Counters, Result
+from archhatch.upstream import ONCE, UpstreamClient, LoadBalancer, Ran
 from archhatch.data_plane.forward import Forward
 from archhatch.data_plane.live_requests import Live
 from archhatch.data_plane.relay import Relay
@@ -69,7 +69,7 @@
 
     def __init__(self, kind, first, second, **lane):
         self.first, self.second = first, second
-        self.plan = Plan(
+        self.plan = RoutingTable(
             {
                 "Revision": 1,
                 "ServiceTable": [{"Name": "s"}],
@@ -91,7 +91,7 @@
         self.kind, self.counters = kind, Counters()
 
     async def start(self):
-        self.caller, self.picker, clock = Caller(), Picker("z"), Clock()
+        self.caller, self.picker, clock = UpstreamClient(), LoadBalancer("z"), Clock()
         self.picker.fold(
             [
                 {"id": f"i{n}", "addr": r.addr, "service": "s", "zone": zone, "slots": 6, "state": "up"}
@@ -99,7 +99,7 @@
             ]
         )
         way = Relay if self.kind == "streaming" else Forward
-        self.way = way(self.caller, self.picker, clock, self.counters, Live(Board(), clock, 1.0))
+        self.way = way(self.caller, self.picker, clock, self.counters, Live(StateBoard(), clock, 1.0))
         self.server = web.Server(self.serve, access_log=None)
         self.site = await asyncio.get_running_loop().create_server(self.server, "127.0.0.1", 0)
         return self
@@ -235,7 +235,7 @@
 )
 def test_a_kept_connection_on_which_anything_waits_is_not_used(run, trouble, seen):
     async def go():
-        loop, caller = asyncio.get_running_loop(), Caller(now=HandClock().now)
+        loop, caller = asyncio.get_running_loop(), UpstreamClient(now=HandClock().now)
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
             addr = f"127.0.0.1:{listener.getsockname()[1]}"
@@ -266,7 +266,7 @@
 
 def test_what_may_no_longer_be_sent_is_not_written(run):
     async def go():
-        replica, caller, may = await Bare().start(), Caller(), []
+        replica, caller, may = await Bare().start(), UpstreamClient(), []
 
         async def send(allowed):
             return await caller.send(
--- a/tests/data_plane/test_hedging.py
+++ b/tests/data_plane/test_hedging.py
@@ -6,9 +6,9 @@
 from tests.support.fakes import HandClock
 from multidict import CIMultiDict
 
-from archhatch.routing import Plan
-from archhatch.runtime import Board, Counters
-from archhatch.upstream import Answer, Picker, Ran
+from archhatch.routing import RoutingTable
+from archhatch.runtime import StateBoard, Counters
+from archhatch.upstream import Answer, LoadBalancer, Ran
 from archhatch.data_plane.forward import Forward
 from archhatch.data_plane.live_requests import Live
 
@@ -48,7 +48,7 @@
 
 
 def setup(answers, kind="idempotent", sends=3, replicas=6):
-    plan = Plan(
+    plan = RoutingTable(
         {
             "Revision": 1,
             "ServiceTable": [{"Name": "s"}],
@@ -66,14 +66,14 @@
             ],
         }
     )
-    picker, clock, caller, ctr = Picker("z", "e", widen=0.5), StepClock(), FakeCaller(answers), Counters()
+    picker, clock, caller, ctr = LoadBalancer("z", "e", widen=0.5), StepClock(), FakeCaller(answers), Counters()
     picker.fold(
         [
             {"id": f"i{n}", "addr": f"a{n}:1", "service": "s", "zone": "z", "slots": 6, "state": "up"}
             for n in range(replicas)
         ]
     )
-    return Forward(caller, picker, clock, ctr, Live(Board(), HandClock(), 1.0)), plan.lane("h", "/q/x")
+    return Forward(caller, picker, clock, ctr, Live(StateBoard(), HandClock(), 1.0)), plan.lane("h", "/q/x")
 
 
 CASES = [  # kind, most sends, answers by turn, status, sends, of them early
@@ -131,7 +131,7 @@
 
 @pytest.mark.parametrize("early, got", [(False, True), (True, False)])
 def test_a_first_send_goes_somewhere_all_the_same(early, got):
-    fwd_picker = Picker("z")
+    fwd_picker = LoadBalancer("z")
     fwd_picker.fold([{"id": "i", "addr": "a:1", "service": "s", "zone": "z", "slots": 1, "state": "up"}])
     fwd_picker.note(fwd_picker.all["i"], "vanished", 0.0)
     assert (fwd_picker.pick("s", set(), 0.1, early=early) is not None) is got
--- a/tests/data_plane/test_job_handlers.py
+++ b/tests/data_plane/test_job_handlers.py
@@ -13,7 +13,7 @@
 from archhatch.runtime import Counters
 from archhatch.rpc import CallError
 from archhatch.upstream import ECHO
-from archhatch.data_plane.job_handlers import UNCLEAR_KEPT, LotDesk
+from archhatch.data_plane.job_handlers import UNCLEAR_KEPT, JobHandlers
 
 LEASE = {"holder": "s0", "life": "l", "term": 4}
 STORES = {"s0": {"ip": "p0", "zone": "z", "state": "active"}}
@@ -29,7 +29,7 @@
         news = SimpleNamespace(
             parts={"plan": {"stores": STORES}, "p0": {"tenures": {"s": LEASE}}}, plan=SimpleNamespace(models=lambda: {})
         )
-        self.desk = LotDesk(settings(Machines=0), news, self, Counters(), self.clock)
+        self.desk = JobHandlers(settings(Machines=0), news, self, Counters(), self.clock)
 
     def to(self, addr):
         return self
--- a/tests/data_plane/test_store_proxies.py
+++ b/tests/data_plane/test_store_proxies.py
@@ -7,10 +7,10 @@
 from tests.support.fakes import HandClock
 from tests.data_plane.test_hedging import GOOD, Req, setup
 
-from archhatch.routing import Plan
+from archhatch.routing import RoutingTable
 from archhatch.runtime import Counters
 from archhatch.rpc import CallError, Refusal
-from archhatch.upstream import Answer, Picker, Ran
+from archhatch.upstream import Answer, LoadBalancer, Ran
 from archhatch.store.proxy import RequestProxy
 from archhatch.data_plane.store_proxies import HALF_S, RARE, Proxy, StoreProxies
 
@@ -169,7 +169,7 @@
 
 def store(answers=(GOOD,), leaving=False, kind="idempotent", replicas=2):
     row = {"Name": "r", "HostName": "h", "PathPrefix": "/q/", "RouteClass": kind, "Service": "s"}
-    picker, sent = Picker("z1"), []
+    picker, sent = LoadBalancer("z1"), []
     picker.fold(
         [
             {"id": f"i{n}", "addr": f"a{n}:1", "service": "s", "zone": "z1", "slots": 2, "state": "up"}
@@ -183,7 +183,7 @@
         assert picker.all[iid].under_way == 1
         return answers.pop(0)
 
-    plan = Plan({"Revision": 1, "RouteTable": [row], "ServiceTable": [{"Name": "s"}]})
+    plan = RoutingTable({"Revision": 1, "RouteTable": [row], "ServiceTable": [{"Name": "s"}]})
     board = types.SimpleNamespace(touch=lambda name: None)
     caller = types.SimpleNamespace(send=send)
     st = types.SimpleNamespace(
--- a/tests/diagnostics/test_importer.py
+++ b/tests/diagnostics/test_importer.py
@@ -5,8 +5,8 @@
 import pytest
 from tests.support.fakes import ROOT
 
-from archhatch.routing import Plan
-from archhatch.diagnostics.importer import Importer, ImportFault
+from archhatch.routing import RoutingTable
+from archhatch.diagnostics.importer import Importer, ConfigImportError
 
 GOOD = """
 events {}
@@ -39,7 +39,7 @@
 def test_import(tmp_path):
     path = write(tmp_path, GOOD)
     doc, notes = Importer(path).read(4)
-    plan = Plan(doc)
+    plan = RoutingTable(doc)
     assert doc["Revision"] == 4 and plan.limits == {"MaxBodyBytes": 2 << 20} and len(doc["RouteTable"]) == 4
     lane = plan.lane("b.example", "/q/1")
     assert (lane.kind, lane.timeout_s, lane.sends, lane.split) == ("idempotent", 1.5, 3, (("quotes", 1.0),))
@@ -59,7 +59,7 @@
     ],
 )
 def test_what_cannot_be_imported(tmp_path, text):
-    with pytest.raises(ImportFault):
+    with pytest.raises(ConfigImportError):
         Importer(write(tmp_path, text)).read(1)
 
 
--- a/tests/evacuation/test_commands.py
+++ b/tests/evacuation/test_commands.py
@@ -9,8 +9,8 @@
 from archhatch.region_policy.reader import read_policy
 from archhatch.control.registers import commands, news_view
 from archhatch.evacuation.commands import KEEP_FINAL
-from archhatch.evacuation.plans import BadPlan, mark, read_plan
-from archhatch.evacuation.record import FINAL, Move, Moves, Place, State
+from archhatch.evacuation.plans import InvalidPlanError, mark, read_plan
+from archhatch.evacuation.record import FINAL, Move, Moves, Place, EvacuationState
 
 POLICY = """version = 1
 [[rule]]
@@ -137,12 +137,12 @@
 @pytest.mark.parametrize("change, words", BAD_PLANS)
 def test_a_bad_plan_names_its_field(change, words):
     doc = {k: v for k, v in {**PLAN, **change}.items() if v is not None}
-    with pytest.raises(BadPlan, match=words):
+    with pytest.raises(InvalidPlanError, match=words):
         read_plan(doc)
 
 
 def test_what_is_no_object_is_no_plan():
-    with pytest.raises(BadPlan):
+    with pytest.raises(InvalidPlanError):
         read_plan([PLAN])
     assert mark(read_plan(PLAN)) != mark(read_plan({**PLAN, "Room": 2}))
 
@@ -237,7 +237,7 @@
     assert len(register.val["evacuations"]) <= KEEP_FINAL + 1 and f"e{KEEP_FINAL + 4}" in register.val["evacuations"]
 
 
-class Lane:
+class Route:
     name, host, prefix, kind = "q", "h", "/q/", "idempotent"
 
 
@@ -260,8 +260,10 @@
         val["regions"] = {out: {"epoch": 1, "out": {"*": {}}}}
     placement = Placement()
     placement.fold(news_view("plan", val))
-    assert placement.order(Lane) == order and placement.zones(Lane) == {"a": {"z1"}, "b": {"z2"}, "c": {"z3"}}[order[0]]
-    leaves = {zone for zone in ("z1", "z2", "z3") if placement.leaves(Lane, zone)}
+    assert (
+        placement.order(Route) == order and placement.zones(Route) == {"a": {"z1"}, "b": {"z2"}, "c": {"z3"}}[order[0]]
+    )
+    leaves = {zone for zone in ("z1", "z2", "z3") if placement.leaves(Route, zone)}
     assert leaves == {("moving", "target"): {"z1"}, ("returning", "origin"): {"z2"}}.get((state, placed), set())
 
 
@@ -285,13 +287,13 @@
             register.claim(seen=rng.randrange(3), holder=rng.choice("nm"))
         elif kind == "step":
             register.step(
-                rng.choice(list(State)),
+                rng.choice(list(EvacuationState)),
                 term=rng.randrange(4),
                 placed=rng.choice(list(Place)),
-                **{"from": rng.choice(list(State))},
+                **{"from": rng.choice(list(EvacuationState))},
             )
         elif kind == "report":
-            report(register, run_term=rng.randrange(4), state=rng.choice(list(State)))
+            report(register, run_term=rng.randrange(4), state=rng.choice(list(EvacuationState)))
         else:
             register.do(f"evacuation.{kind}", id="e1", why="")
         record = register.val["evacuations"]["e1"]
--- a/tests/health/test_outlier_detection.py
+++ b/tests/health/test_outlier_detection.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from archhatch.upstream import Answer, Picker, Ran
+from archhatch.upstream import Answer, LoadBalancer, Ran
 from archhatch.upstream.headers import LOAD
 
 N = 6
@@ -16,7 +16,7 @@
     """One edge that sends requests one after the other; ill(iid, now) -> (answer, seconds) of a replica."""
 
     def __init__(self, ill, every=0.05, seed=7):
-        self.p, self.ill, self.now, self.every = Picker("z", "edge", rest_s=1.2, widen=0.5), ill, 100.0, every
+        self.p, self.ill, self.now, self.every = LoadBalancer("z", "edge", rest_s=1.2, widen=0.5), ill, 100.0, every
         self.rng = random.Random(seed)
         self.p.fold([self.ent(f"i{n}") for n in range(N)])
 
--- a/tests/http_server/test_client_disconnect.py
+++ b/tests/http_server/test_client_disconnect.py
@@ -5,7 +5,7 @@
 import pytest
 from tests.data_plane.test_hedging import GOOD, OUT, Req, setup
 
-from archhatch.http_server import Window
+from archhatch.http_server import HttpServer
 from archhatch.runtime import Counters, Result, open_logs
 
 CASES = [  # kind, answers by turn, sends out when the client leaves, broken off
@@ -73,7 +73,7 @@
                 ended.append(gate.is_set())
             return Result(200, body)
 
-        win = Window(slow, open_logs("t", "CRITICAL"), Counters(), cancel_on_disconnect=cancels)
+        win = HttpServer(slow, open_logs("t", "CRITICAL"), Counters(), cancel_on_disconnect=cancels)
         await win.open("127.0.0.1:0")
         _, writer = await asyncio.open_connection("127.0.0.1", win.port())
         writer.write(b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nok")
--- a/tests/http_server/test_server.py
+++ b/tests/http_server/test_server.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from archhatch.http_server import Window
+from archhatch.http_server import HttpServer
 from archhatch.runtime import Counters, Result, open_logs
 
 
@@ -11,7 +11,7 @@
     async def echo(req, body):
         return Result(200, body)
 
-    win = Window(handler or echo, open_logs("t", "CRITICAL"), Counters(), limits)
+    win = HttpServer(handler or echo, open_logs("t", "CRITICAL"), Counters(), limits)
     await win.open("127.0.0.1:0")
     return win
 
--- a/tests/jobs/test_batch_job.py
+++ b/tests/jobs/test_batch_job.py
@@ -6,7 +6,7 @@
 from tests.support.fakes import MemBook
 
 from archhatch.runtime import Counters
-from archhatch.jobs import BadLot, Record, RecordStore, check_lot, pack, read_lot, unpack
+from archhatch.jobs import InvalidJobError, Record, RecordStore, check_job, pack, read_job, unpack
 from archhatch.jobs.record import pack_many, unpack_many
 
 B64 = base64.b64encode(b"body").decode()
@@ -32,8 +32,8 @@
 
 def test_good_lot():
     raw = orjson.dumps(LOT)
-    assert check_lot("l", raw) == "m"
-    lot = read_lot({"lot": "l", "run": "m", "host": "h", "path": "/p/"}, raw, 5.0)
+    assert check_job("l", raw) == "m"
+    lot = read_job({"lot": "l", "run": "m", "host": "h", "path": "/p/"}, raw, 5.0)
     assert lot.total == 2 and lot.least == 2 and lot.want == 1 and lot.items["i1"].heads == [("A", "b")]
 
 
@@ -62,14 +62,14 @@
 def test_malformed_lots(change):
     doc = copy.deepcopy(LOT)
     change(doc)
-    with pytest.raises(BadLot):
-        check_lot("l", orjson.dumps(doc))
+    with pytest.raises(InvalidJobError):
+        check_job("l", orjson.dumps(doc))
 
 
 @pytest.mark.parametrize("lid, raw", [("", orjson.dumps(LOT)), ("l", b""), ("l", b"[]"), ("l", orjson.dumps(LOT)[:-9])])
 def test_no_lot_at_all(lid, raw):
-    with pytest.raises(BadLot):
-        check_lot(lid, raw)
+    with pytest.raises(InvalidJobError):
+        check_job(lid, raw)
 
 
 def rec(kind="R", lot="l", pos=0, term=1, item="i", by=None, body=b"x"):
@@ -147,7 +147,7 @@
 
 
 def test_page_gives_at_least_one_and_no_more_than_fits():
-    lot = read_lot({"lot": "l", "run": "m", "host": "h", "path": "/p/"}, orjson.dumps(LOT), 0.0)
+    lot = read_job({"lot": "l", "run": "m", "host": "h", "path": "/p/"}, orjson.dumps(LOT), 0.0)
     lot.results = [rec(pos=n, body=b"y" * 600) for n in range(3)]
     lot.listed = 2
     assert lot.page(0, most=10) == ([b"y" * 600], 1)
--- a/tests/jobs/test_quorum.py
+++ b/tests/jobs/test_quorum.py
@@ -15,10 +15,10 @@
 from archhatch.store.handlers import lacks
 from archhatch.store.membership import Membership
 from archhatch.store.node import StoreNode
-from archhatch.runtime import Board, Counters, Crew, open_logs
-from archhatch.runtime.settings import check_boot
-from archhatch.rollout_controller import Reign
-from archhatch.data_plane.job_handlers import LotDesk
+from archhatch.runtime import StateBoard, Counters, TaskGroup, open_logs
+from archhatch.runtime.settings import check_settings
+from archhatch.rollout_controller import LeadershipTerm
+from archhatch.data_plane.job_handlers import JobHandlers
 from archhatch.jobs import Replicator, Quorum, Record, RecordStore, active
 from archhatch.jobs.replicator import SHUN
 from archhatch.jobs.record import pack_many, unpack_many
@@ -28,7 +28,9 @@
 
 
 def settings(**tolerance):
-    return check_boot({"NodeName": "n", "IpAddress": "1.1.1.1", "InternalPorts": [1, 9], "FaultTolerance": tolerance})
+    return check_settings(
+        {"NodeName": "n", "IpAddress": "1.1.1.1", "InternalPorts": [1, 9], "FaultTolerance": tolerance}
+    )
 
 
 class Site:
@@ -88,10 +90,10 @@
 
     def __init__(self, site, place, book, sid):
         self.site, self.place, self.id, self.clock, self.boot = site, place, sid, site.clock, site.boot
-        self.log, self.ctr, self.board, self.beat_s, self.quiet_s = LOG, Counters(), Board(), 0.001, 0.05
+        self.log, self.ctr, self.board, self.beat_s, self.quiet_s = LOG, Counters(), StateBoard(), 0.001, 0.05
         self.shelf = RecordStore(book, self.clock, self.ctr)
         self.shelf.load(book.raws)
-        self.crew, self.lines, self.news, self.quorum = Crew(LOG, self.ctr), site, self, Quorum.of(site.boot)
+        self.crew, self.lines, self.news, self.quorum = TaskGroup(LOG, self.ctr), site, self, Quorum.of(site.boot)
         self.copier = Replicator(
             sid, self.shelf, site, self.members, self.alive, self.crew, self.ctr, 0.05, self.quorum
         )
@@ -129,7 +131,7 @@
             self.proofs[sid] = (self.clock.now(), dict(self.site.at[place].shelf.promised))
 
     async def reign(self, term):
-        reign = Reign(self, "s", term)
+        reign = LeadershipTerm(self, "s", term)
         await reign.begin()
         self.hear(s for s in self.members() if self.alive(s) and s != self.id)
         return reign
@@ -200,7 +202,7 @@
         held = site.holders("l")
         site.dark = set((held + [p for p in site.at if p not in held])[:dark])
         at = site.at[next(p for p in reversed(list(site.at)) if p not in site.dark)]
-        reign = Reign(at, "s", 2)
+        reign = LeadershipTerm(at, "s", 2)
         assert await reign.takeover.gather() is (dark <= tol["Machines"])
         assert ("l" in reign.lots) is (dark <= tol["Machines"])
 
@@ -227,7 +229,7 @@
             site.wipe(p)
         site.dark = set(([p for p in held[wiped:]] + [p for p in site.at if p not in held])[:dark])
         news = SimpleNamespace(parts={"plan": site.val})
-        desk = LotDesk(site.boot, news, site, Counters(), clock)
+        desk = JobHandlers(site.boot, news, site, Counters(), clock)
         site.to = lambda addr, to=site.to: to(addr.rsplit(":", 1)[0])
         assert await desk._nowhere(lot) is (lot == "x" and wiped + dark <= f)
 
@@ -242,13 +244,13 @@
             site.start(p, MemBook())
         site.dark = {"p0", "p1", "p2"}
         site.at["p4"].copier.alive = site.at["p4"].alive
-        reign = Reign(site.at["p4"], "s", 1)
+        reign = LeadershipTerm(site.at["p4"], "s", 1)
         reign.gathered()  # the lot comes to stores that the edge has not heard of
         await reign.put({"lot": "l", "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
         assert site.holders("l") == ["p3", "p4"]
         site.dark = set()
         site.to = lambda addr, to=site.to: to(addr.rsplit(":", 1)[0])
-        desk = LotDesk(site.boot, SimpleNamespace(parts={"plan": old}), site, Counters(), clock)
+        desk = JobHandlers(site.boot, SimpleNamespace(parts={"plan": old}), site, Counters(), clock)
         assert not await desk._nowhere("l")
         desk.news.parts["plan"] = site.val
         assert not await desk._nowhere("l") and await desk._nowhere("x")
--- a/tests/membership/test_config_watcher.py
+++ b/tests/membership/test_config_watcher.py
@@ -3,18 +3,18 @@
 import pytest
 from tests.support.fakes import HandClock
 
-from archhatch.membership import Newsreader
-from archhatch.runtime import Board, Counters
-from archhatch.runtime.settings import check_boot
+from archhatch.membership import ConfigWatcher
+from archhatch.runtime import StateBoard, Counters
+from archhatch.runtime.settings import check_settings
 from archhatch.rpc import CallError, ConnectionPool
 
-BOOT = check_boot(
+BOOT = check_settings(
     {"NodeName": "n", "IpAddress": "1.1.1.1", "InternalPorts": [7, 9], "SeedPeers": ["1.1.1.1:80", "1.1.1.2:80"]}
 )
 
 
 def reader():
-    return Newsreader(BOOT, {"id": "n"}, ConnectionPool(Counters()), Board(), HandClock(), Counters())
+    return ConfigWatcher(BOOT, {"id": "n"}, ConnectionPool(Counters()), StateBoard(), HandClock(), Counters())
 
 
 def news(parts=None, roll=(), life="a", turn=1, cores=("1.1.1.1:7",)):
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -1,7 +1,7 @@
 import pytest
 
-from archhatch.health import Fitness, Peers
-from archhatch.membership import Neighbours, Roll, pick, rank
+from archhatch.health import ReplicaHealth, PeerStatistics
+from archhatch.membership import PeerSet, ReplicaRegistry, pick, rank
 from archhatch.health.outlier_detection import STATES
 
 
@@ -22,13 +22,13 @@
     ],
 )
 def test_roll_order_of_beats(beats, taken, state):
-    roll = Roll()
+    roll = ReplicaRegistry()
     assert [roll.beat(ent(s, q), 1.0) for s, q in beats] == taken
     assert roll.all["r"]["state"] == state
 
 
 def test_roll_turn_moves_only_for_what_matters():
-    roll = Roll()
+    roll = ReplicaRegistry()
     roll.beat(ent(seq=1), 0.0)
     turn = roll.turn
     roll.beat(ent(seq=2), 1.0)
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("now, silent, turned", [(2.0, False, False), (4.0, True, True)])
 def test_sweep_marks_silence(now, silent, turned):
-    roll = Roll()
+    roll = ReplicaRegistry()
     roll.beat(ent(seq=1), 0.0)
     assert roll.sweep(now, 3.0) is turned
     assert roll.all["r"].get("silent", False) is silent
@@ -51,7 +51,7 @@
 
 
 def test_sweep_drops_what_is_long_gone():
-    roll = Roll()
+    roll = ReplicaRegistry()
     roll.beat(ent("gone", 1), 0.0)
     roll.sweep(1000.0, 3.0)
     assert roll.all == {}
@@ -67,7 +67,7 @@
 
 
 def test_neighbours():
-    n = Neighbours()
+    n = PeerSet()
     n.learn({"id": "a"})
     assert n.silent("a", 1e9) == float("inf")
     n.hear({"id": "a"}, 5.0)
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("state, sign, dest", TABLE)
 def test_fitness_moves(state, sign, dest):
-    f = Fitness()
+    f = ReplicaHealth()
     f.state, f.until, f.bad = state, 5.0, 1.0 if state == "resting" else 0.0
     f.note(sign, 0.0, 1.0)
     assert f.look(0.0) == dest
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize("signs, state", SEQUENCES)
 def test_results_are_weighed(signs, state):
-    f, now = Fitness(), 100.0
+    f, now = ReplicaHealth(), 100.0
     for sign in signs:
         f.note({"s": "served", "f": "faulted", "v": "vanished", "l": "late", "x": "shed"}[sign], now, 1.0)
         now += 0.1
@@ -131,7 +131,7 @@
 
 
 def test_fitness_rests_longer_each_time_and_comes_back_in_doubt():
-    f = Fitness()
+    f = ReplicaHealth()
     f.note("vanished", 0.0, 1.0)
     assert f.look(0.5) == "resting" and f.look(1.0) == "doubtful"
     f.note("vanished", 1.0, 1.0)
@@ -149,7 +149,7 @@
 
 
 def test_failures_sent_before_a_rest_do_not_prolong_it():
-    f = Fitness()
+    f = ReplicaHealth()
     for _ in range(20):
         f.note("faulted", 0.0, 1.0)
     assert f.look(0.9) == "resting" and f.look(1.0) == "doubtful"
@@ -165,7 +165,7 @@
     ],
 )
 def test_a_beat_is_a_hint(results, beaten, state):
-    f = Fitness()
+    f = ReplicaHealth()
     for r in results:
         f.note(r, 10.0, 1.0)
     if beaten:
@@ -175,8 +175,8 @@
 
 @pytest.mark.parametrize("count, bad, out", [(2, 2, 0), (3, 1, 1), (3, 3, 1), (9, 4, 3), (24, 24, 8)])
 def test_no_more_than_a_third_is_ejected_for_results(count, bad, out):
-    peers = Peers()
-    all_ = [Fitness(peers) for _ in range(count)]
+    peers = PeerStatistics()
+    all_ = [ReplicaHealth(peers) for _ in range(count)]
     for n, f in enumerate(all_):
         for _ in range(8):
             f.note("faulted" if n < bad else "served", 10.0, 1.0)
@@ -187,8 +187,8 @@
 
 
 def test_where_all_fail_alike_none_is_ejected():
-    peers = Peers()
-    all_ = [Fitness(peers) for _ in range(6)]
+    peers = PeerStatistics()
+    all_ = [ReplicaHealth(peers) for _ in range(6)]
     for n in range(40):
         for f in all_:
             f.note("faulted" if n % 2 else "served", 10.0 + n, 1.0)
@@ -196,7 +196,7 @@
 
 
 def test_a_few_trials_and_time_bring_it_back():
-    f = Fitness()
+    f = ReplicaHealth()
     for _ in range(4):
         f.note("faulted", 0.0, 1.0)
     assert f.look(1.0) == "doubtful" and f.trials == 5
@@ -207,7 +207,7 @@
 
 
 def test_sightings_are_told_once_and_two_that_tell_each_other_come_to_rest():
-    one, two = Neighbours(step_s=0.2), Neighbours(step_s=0.2)
+    one, two = PeerSet(step_s=0.2), PeerSet(step_s=0.2)
     one.hear({"id": "s", "ip": "1"}, 10.0)
     turns = [0, 0]
     for step in range(20):  # each tells the other what it was not told yet; on the way it grows a little younger
--- a/tests/region_policy/test_region_policy.py
+++ b/tests/region_policy/test_region_policy.py
@@ -10,12 +10,12 @@
 
 from archhatch.region_policy import Placement
 from archhatch.region_policy.explain import explain
-from archhatch.region_policy.errors import PolicyFault
+from archhatch.region_policy.errors import PolicyError
 from archhatch.region_policy.patterns import fits, meet
 from archhatch.region_policy.reader import read_policy
-from archhatch.control.api_requests import BadCall, OnPolicy, decode
+from archhatch.control.api_requests import InvalidRequestError, OnPolicy, decode
 from archhatch.control.registers import commands, news_view
-from archhatch.upstream import Picker
+from archhatch.upstream import LoadBalancer
 
 ZONES = {"z1": "attica", "z2": "thessaly", "z3": "crete"}
 GOOD = """version = 1
@@ -194,7 +194,7 @@
 @pytest.mark.parametrize("what", sorted(BAD))
 def test_faults_name_file_line_and_field(what):
     text, line, field, word = BAD[what]
-    with pytest.raises(PolicyFault) as e:
+    with pytest.raises(PolicyError) as e:
         read_policy(text, "p.toml", known=set(ZONES.values()))
     hits = [f for f in e.value.faults if f.startswith(f"p.toml:{line}: {field}: ")]
     assert hits and any(word in f for f in hits), e.value.faults
@@ -202,13 +202,13 @@
 
 
 def test_all_faults_are_named_at_once():
-    with pytest.raises(PolicyFault) as e:
+    with pytest.raises(PolicyError) as e:
         read_policy('version = 0\n[[rule]]\nname = ""\nclass = "batch"\nregions = []\n', "p")
     assert [f.split(": ")[0] for f in e.value.faults] == ["p:1", "p:3", "p:5"]
 
 
 def test_too_large():
-    with pytest.raises(PolicyFault):
+    with pytest.raises(PolicyError):
         read_policy("#" * 70_000 + "\nversion = 1\nrule = []")
 
 
@@ -478,7 +478,7 @@
 
 
 def picker(facts=None, text=GOOD):
-    p = Picker("z1", "me")
+    p = LoadBalancer("z1", "me")
     p.fold(
         [
             {"id": f"{z}-{n}", "addr": f"{z}:{n}", "service": "s", "zone": z, "slots": 6, "state": "up"}
@@ -582,6 +582,6 @@
     ],
 )
 def test_bad_calls(method, path, heads, body, code):
-    with pytest.raises(BadCall) as e:
+    with pytest.raises(InvalidRequestError) as e:
         decode(method, path, heads, body)
     assert e.value.code == code
--- a/tests/region_policy/test_regions_system.py
+++ b/tests/region_policy/test_regions_system.py
@@ -198,9 +198,9 @@
     async def lots(self, phase, k):
         lid = f"{phase}.lot.{k}"
         assert await self.hand_in(lid, lot(name=f"{lid}.")) == 202
-        self.check_lot(lid, await self.read_all(lid))
+        self.check_job(lid, await self.read_all(lid))
 
-    def check_lot(self, lid, rows):
+    def check_job(self, lid, rows):
         assert sorted(r["InstanceId"] for r in rows) == [f"{lid}.{g}-{n}" for g in (0, 1) for n in (0, 1)]
         for r in rows:
             assert r["OperState"] == "complete" and r["Score"].startswith("seal.c-"), r
@@ -491,7 +491,7 @@
         200,
         {"Epoch": 2},
     )
-    w.check_lot(lid, await w.read_all(lid))
+    w.check_job(lid, await w.read_all(lid))
     assert w.regions_of("waits") == {"thessaly"}
     rows = {r["Name"]: r for r in (await w.call("GET", "/api/regions"))[1]["RegionTable"]}
     assert rows["attica"]["OutTable"] == [{"Rule": "*", "Epoch": 1, "By": "operator", "Reason": "works"}]
--- a/tests/region_policy/test_watch.py
+++ b/tests/region_policy/test_watch.py
@@ -6,12 +6,12 @@
 from tests.support.fakes import HandClock
 
 from archhatch.region_policy import Policy
-from archhatch.region_policy.region_monitor import RegionDuty
+from archhatch.region_policy.region_monitor import RegionMonitor
 from archhatch.region_policy.commands import commands
 from archhatch.region_policy.watch import RegionWatch
-from archhatch.membership import Roll
-from archhatch.runtime import Board, Counters
-from archhatch.runtime.settings import check_boot
+from archhatch.membership import ReplicaRegistry
+from archhatch.runtime import StateBoard, Counters
+from archhatch.runtime.settings import check_settings
 
 QUIET, RETURN = 3.0, 12.0
 TEXT = """version = 1
@@ -153,7 +153,7 @@
 
 # -- the duty of a control node
 
-BOOT = check_boot(
+BOOT = check_settings(
     {"NodeName": "n", "IpAddress": "1.1.1.1", "InternalPorts": [7, 9], "Zones": ZONES, "KeepaliveMs": 1000}
 )
 PLAN = {
@@ -172,8 +172,8 @@
         super().__init__(
             boot=BOOT,
             clock=HandClock(),
-            roll=Roll(),
-            board=Board(),
+            roll=ReplicaRegistry(),
+            board=StateBoard(),
             ctr=Counters(),
             quiet_s=0.75,
             started=0.0,
@@ -185,7 +185,7 @@
             seq=0,
             log=SimpleNamespace(info=lambda *a: None),
         )
-        self.duty = RegionDuty(self, "plan")
+        self.duty = RegionMonitor(self, "plan")
 
     def in_touch(self):
         return self.touch
--- a/tests/rollout_controller/test_leadership_term.py
+++ b/tests/rollout_controller/test_leadership_term.py
@@ -7,12 +7,12 @@
 from tests.support.fakes import MemBook
 from tests.jobs.test_batch_job import LOT
 
-from archhatch.runtime import Board, Counters, Crew, open_logs
-from archhatch.runtime.settings import check_boot
-from archhatch.rollout_controller import Reign
-from archhatch.jobs import Deposed, Quorum, Record, RecordStore
+from archhatch.runtime import StateBoard, Counters, TaskGroup, open_logs
+from archhatch.runtime.settings import check_settings
+from archhatch.rollout_controller import LeadershipTerm
+from archhatch.jobs import DeposedError, Quorum, Record, RecordStore
 
-BOOT = check_boot({"NodeName": "n", "IpAddress": "1.1.1.1", "InternalPorts": [1, 9]})
+BOOT = check_settings({"NodeName": "n", "IpAddress": "1.1.1.1", "InternalPorts": [1, 9]})
 
 
 class FakeCopier:
@@ -28,7 +28,7 @@
         self.puts.append((term, recs))
         await self.gate.wait()
         if self.deposed:
-            raise Deposed(run)
+            raise DeposedError(run)
         for r in recs:
             r.held |= {"me", "b"}
 
@@ -38,8 +38,8 @@
 
     def __init__(self, clock, names=("me", "b", "c")):
         self.id, self.clock, self.boot = "me", clock, BOOT
-        self.ctr, self.board, self.log, self.beat_s = Counters(), Board(), open_logs("t", "CRITICAL"), 0.01
-        self.crew = Crew(self.log, self.ctr)
+        self.ctr, self.board, self.log, self.beat_s = Counters(), StateBoard(), open_logs("t", "CRITICAL"), 0.01
+        self.crew = TaskGroup(self.log, self.ctr)
         self.shelves = {n: RecordStore(MemBook(), clock, Counters()) for n in names}
         self.shelf, self.quorum = self.shelves["me"], Quorum.of(BOOT)
         self.copier = FakeCopier(self)
@@ -96,7 +96,7 @@
         st = FakeStore(clock)
         for n, shelf in st.shelves.items():
             await shelf.append([lot_rec()] + [res(*r) for r in held.get(n, [])])
-        reign = Reign(st, "s", 5)
+        reign = LeadershipTerm(st, "s", 5)
         await reign.begin()
         lot = reign.lots["l"]
         assert [r.head["item"] for r in lot.results] == items and lot.listed == len(items) and lot.done == set(items)
@@ -117,7 +117,7 @@
         for n in holders:
             await st.shelves[n].append([lot_rec()])
         st.silent = {silent} - {"me"}
-        reign = Reign(st, "s", 2)
+        reign = LeadershipTerm(st, "s", 2)
         await reign.begin()
         assert ("l" in reign.lots) is taken and reign.state == "holding"
 
@@ -128,7 +128,7 @@
     async def go():
         st = FakeStore(clock)
         await st.shelves["c"].prepare("s", 9)
-        reign = Reign(st, "s", 5)
+        reign = LeadershipTerm(st, "s", 5)
         await reign.begin()
         assert reign.state == "over" and not reign.fresh() and not reign.may_order()
 
@@ -142,7 +142,7 @@
         for n in ("b", "c"):
             await st.shelves[n].append([Record({"k": "O", "lot": "", "run": "s", "iid": "e1", "by": 1})])
         clock.at += age
-        reign = Reign(st, "s", 2)
+        reign = LeadershipTerm(st, "s", 2)
         await reign.begin()
         if wait:
             clock.at += wait - 0.01
@@ -159,7 +159,7 @@
     st = FakeStore(clock)
     for n in st.shelves:
         await st.shelves[n].append([lot_rec()])
-    reign = Reign(st, "s", 2)
+    reign = LeadershipTerm(st, "s", 2)
     await reign.begin()
     st.copier.gate.clear()
     return st, reign
@@ -212,7 +212,7 @@
             st.copier.deposed = True
             st.copier.gate.set()
         outs = await asyncio.gather(*tasks, return_exceptions=True)
-        assert all(isinstance(o, Deposed) for o in outs) and reign.state == "over" and not good(reign)
+        assert all(isinstance(o, DeposedError) for o in outs) and reign.state == "over" and not good(reign)
 
     run(go())
 
@@ -248,7 +248,7 @@
 @pytest.mark.parametrize("told, wait", NOTES)
 def test_how_old_a_note_of_an_order_is(clock, told, wait):
     st = FakeStore(clock)
-    reign = Reign(st, "run", 5)
+    reign = LeadershipTerm(st, "run", 5)
     reign.takeover.heed_orders(
         [{"orders": {"i": age}, "noted": {"i": note} if note else {}, "tick": tick} for age, note, tick in told]
     )
--- a/tests/rollout_controller/test_load_concurrency.py
+++ b/tests/rollout_controller/test_load_concurrency.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from archhatch.rollout_controller.load_concurrency import LoadRoom
+from archhatch.rollout_controller.load_concurrency import LoadConcurrencyLimit
 
 
 def learnt(engines, samples):
-    r = LoadRoom(0.3)
+    r = LoadConcurrencyLimit(0.3)
     r.resize(engines)
     for took, at_once in samples:
         r.note(took, at_once)
--- a/tests/rollout_controller/test_load_limit.py
+++ b/tests/rollout_controller/test_load_limit.py
@@ -5,9 +5,9 @@
 import pytest
 from tests.support.standins import World, lot, plan
 
-from archhatch.membership import LiveBook
-from archhatch.runtime import Board
-from archhatch.rollout_controller.load_limit import Lull
+from archhatch.membership import LiveRequests
+from archhatch.runtime import StateBoard
+from archhatch.rollout_controller.load_limit import LoadLimit
 from archhatch.data_plane.live_requests import Live
 
 
@@ -26,7 +26,7 @@
     ],
 )
 def test_places(busy, slots, replicas, places):
-    lull = Lull()
+    lull = LoadLimit()
     lull.heed(busy)
     assert lull.places("s", slots, replicas) == places
 
@@ -43,14 +43,14 @@
 
 @pytest.mark.parametrize("words, now, busy", WORDS)
 def test_livebook(words, now, busy):
-    book = LiveBook(2.0)
+    book = LiveRequests(2.0)
     for word in words:
         book.put(*word)
     assert book.busy(now) == busy
 
 
 def test_live_tells_the_first_after_a_lull_at_once(clock):
-    board = Board()
+    board = StateBoard()
     live = Live(board, clock, 1.0)
     live.enter("s")
     live.enter("s")
@@ -134,7 +134,7 @@
 
 @pytest.mark.parametrize("words, busy", SUMS)
 def test_what_other_control_nodes_sum_up(words, busy):
-    book = LiveBook(2.0)
+    book = LiveRequests(2.0)
     book.put("edge", {"s": 1}, 1.0)
     for word in words:
         book.put_sum(*word)
--- a/tests/rollout_controller/test_scoring.py
+++ b/tests/rollout_controller/test_scoring.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from archhatch.routing import Plan
-from archhatch.runtime import Board, Counters
-from archhatch.upstream import AGAIN, Answer, Picker, Ran
-from archhatch.rollout_controller.load_limit import Lull
+from archhatch.routing import RoutingTable
+from archhatch.runtime import StateBoard, Counters
+from archhatch.upstream import AGAIN, Answer, LoadBalancer, Ran
+from archhatch.rollout_controller.load_limit import LoadLimit
 from archhatch.rollout_controller.scoring import Scoring
 
-PLAN = Plan(
+PLAN = RoutingTable(
     {
         "Revision": 1,
         "ServiceTable": [{"Name": "s"}],
@@ -47,10 +47,10 @@
 
 
 def setup(clock, answers=None, slots=2):
-    picker = Picker("z")
+    picker = LoadBalancer("z")
     picker.fold([{"id": "i", "addr": "a:1", "service": "s", "zone": "z", "slots": slots, "state": "up"}])
     st = SimpleNamespace(
-        board=Board(),
+        board=StateBoard(),
         clock=clock,
         ctr=Counters(),
         plan=PLAN,
@@ -59,7 +59,7 @@
         caller=FakeCaller(answers),
         gap_s=lambda: 0.0,
     )
-    return st, Scoring(st, Lull())
+    return st, Scoring(st, LoadLimit())
 
 
 def work(name):
--- a/tests/rollout_controller/test_weight_orders.py
+++ b/tests/rollout_controller/test_weight_orders.py
@@ -7,14 +7,14 @@
 import pytest
 from transitions import Machine
 
-from archhatch.routing import Plan
-from archhatch.runtime import Board, Counters, open_logs
-from archhatch.runtime.settings import check_boot
-from archhatch.upstream import NotSent
-from archhatch.rollout_controller import Engines, Orders
+from archhatch.routing import RoutingTable
+from archhatch.runtime import StateBoard, Counters, open_logs
+from archhatch.runtime.settings import check_settings
+from archhatch.upstream import NotSentError
+from archhatch.rollout_controller import Engines, WeightOrders
 from archhatch.rollout_controller.leadership_term import MOVES
 
-BOOT = check_boot(
+BOOT = check_settings(
     {"NodeName": "n", "IpAddress": "1.1.1.1", "InternalPorts": [1, 9], "Bounds": {"LeaseMs": 300, "ContactMs": 300}}
 )
 
@@ -33,7 +33,7 @@
         if self.status == 0:
             raise OSError("reset")
         if self.status == "late":
-            raise NotSent
+            raise NotSentError
         return self
 
     async def __aexit__(self, *a):
@@ -102,7 +102,7 @@
     )
     st = SimpleNamespace(
         boot=BOOT,
-        board=Board(),
+        board=StateBoard(),
         clock=clock,
         ctr=Counters(),
         engines=engines,
@@ -112,14 +112,14 @@
         gap_s=lambda: 0.02,
         named=lambda: {m: named for m in models},
         models_of=lambda run: list(models),
-        plan=Plan({"Revision": 1, "RouteTable": [], "ServiceTable": []}),
+        plan=RoutingTable({"Revision": 1, "RouteTable": [], "ServiceTable": []}),
         leader=SimpleNamespace(short=lambda reign, model: False),
         crew=None,
     )
     st.reigns = {"s": FakeReign(clock)}
     st.tasks = []
     st.crew = SimpleNamespace(once=lambda name, fn, *args: st.tasks.append(asyncio.ensure_future(fn(*args))))
-    return st, st.reigns["s"], Orders(st)
+    return st, st.reigns["s"], WeightOrders(st)
 
 
 async def settle(orders):
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from archhatch.routing import Plan
+from archhatch.routing import RoutingTable
 from archhatch.routing.patch import merge
-from archhatch.routing.schemas import PlanFault, check_plan
+from archhatch.routing.schemas import InvalidConfigError, check_config
 
 ROUTE = {
     "Name": "r1",
@@ -52,19 +52,19 @@
 
 
 def test_good_plan_is_kept_as_it_came():
-    assert check_plan(copy.deepcopy(GOOD)) == GOOD
+    assert check_config(copy.deepcopy(GOOD)) == GOOD
 
 
 @pytest.mark.parametrize("why", sorted(BAD))
 def test_invalid_plans(why):
-    with pytest.raises(PlanFault):
-        check_plan(changed(BAD[why]))
+    with pytest.raises(InvalidConfigError):
+        check_config(changed(BAD[why]))
 
 
 @pytest.mark.parametrize("doc", [None, 5, [], "x"])
 def test_no_plan_at_all(doc):
-    with pytest.raises(PlanFault):
-        check_plan(doc)
+    with pytest.raises(InvalidConfigError):
+        check_config(doc)
 
 
 @pytest.mark.parametrize(
@@ -81,7 +81,7 @@
     ],
 )
 def test_longest_prefix(host, path, name):
-    lane = Plan(GOOD).lane(host, path)
+    lane = RoutingTable(GOOD).lane(host, path)
     assert (lane.name if lane else None) == name
 
 
@@ -91,7 +91,7 @@
             TrafficSplit=[{"Service": "s1", "Weight": 90}, {"Service": "s2", "Weight": 10}]
         )
     )
-    lane = Plan(doc).lane("h.example", "/a/x")
+    lane = RoutingTable(doc).lane("h.example", "/a/x")
     got = [lane.pick() for _ in range(2000)]
     assert 195 <= got.count("s2") <= 205 and set(got) == {"s1", "s2"}
 
@@ -122,7 +122,7 @@
     ],
 )
 def test_bad_changes(change):
-    with pytest.raises(PlanFault):
+    with pytest.raises(InvalidConfigError):
         merge(GOOD, change)
 
 
--- a/tests/rpc/test_rpc.py
+++ b/tests/rpc/test_rpc.py
@@ -15,7 +15,7 @@
     framing,
     is_misdirected,
 )
-from archhatch.rpc.framing import FrameFault, pack, read_frame
+from archhatch.rpc.framing import FrameError, pack, read_frame
 
 FRAME = pack(Envelope(call=7, verb="ping", head=b"{}"))
 
@@ -36,9 +36,9 @@
     [
         (FRAME[:5], asyncio.IncompleteReadError),
         (FRAME[:-1], asyncio.IncompleteReadError),
-        (FRAME[:-1] + b"\x00", FrameFault),
-        (b"\xff" * 16, FrameFault),
-        (b"GET / HTTP/1.1\r\n\r\n" * 3, FrameFault),
+        (FRAME[:-1] + b"\x00", FrameError),
+        (b"\xff" * 16, FrameError),
+        (b"GET / HTTP/1.1\r\n\r\n" * 3, FrameError),
     ],
 )
 def test_damaged_frames(run, data, fault):
@@ -76,7 +76,7 @@
         raw = bytes(env)
         rd = asyncio.StreamReader()
         rd.feed_data(len(raw).to_bytes(4, "big") + zlib.crc32(raw).to_bytes(4, "big") + raw)
-        with pytest.raises(FrameFault):
+        with pytest.raises(FrameError):
             await read_frame(rd)
 
     run(go())
--- a/tests/runtime/test_document_encoding.py
+++ b/tests/runtime/test_document_encoding.py
@@ -7,7 +7,7 @@
 import pytest
 
 from archhatch.share_group.window_journal import WindowJournal
-from archhatch.share_group.window import Window
+from archhatch.share_group.window import SharePartition
 from archhatch.runtime import encode_kept
 
 DOCS = [{}, [], {"Text": "x" * 6000}, {"Text": 'é"\n' * 2000}, {"a": [1, 2.5, None, True], "b": {"c": "d"}}]
@@ -31,7 +31,7 @@
 
 
 def test_records_of_windows_are_kept_in_their_length():
-    window, journal = Window("m", 1, 30.0, 200), WindowJournal("r", "m")
+    window, journal = SharePartition("m", 1, 30.0, 200), WindowJournal("r", "m")
     tracemalloc.start()
     try:
         record = journal.next(window)
--- a/tests/runtime/test_settings.py
+++ b/tests/runtime/test_settings.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from archhatch.runtime import BootFault, read_boot
-from archhatch.runtime.settings import check_boot
+from archhatch.runtime import SettingsError, read_settings
+from archhatch.runtime.settings import check_settings
 
 GOOD = {
     "NodeName": "n1",
@@ -16,7 +16,7 @@
 
 
 def test_good_settings_and_unknown_fields():
-    boot = check_boot(GOOD)
+    boot = check_settings(GOOD)
     assert boot.node == "n1" and boot.secs("ContactMs", 0.5) == 1.5 and boot.secs("GraceS") == 8.0
 
 
@@ -47,14 +47,14 @@
 )
 def test_bad_settings_name_the_field(change, field):
     doc = {k: v for k, v in {**GOOD, **change}.items() if v is not ...}
-    with pytest.raises(BootFault) as e:
-        check_boot(doc)
+    with pytest.raises(SettingsError) as e:
+        check_settings(doc)
     assert e.value.field == field and "\n" not in str(e.value)
 
 
 @pytest.mark.parametrize("change, lock, locks", [({}, 30.0, 200), ({"ShareLockS": 5, "ShareLocks": 12}, 5.0, 12)])
 def test_locks_of_share_groups(change, lock, locks):
-    boot = check_boot({**GOOD, **change})
+    boot = check_settings({**GOOD, **change})
     assert (boot.share_lock_s, boot.share_locks) == (lock, locks)
 
 
@@ -68,7 +68,7 @@
     ],
 )
 def test_what_is_tolerated(doc, machines, zones, regions):
-    boot = check_boot({**GOOD, "FaultTolerance": doc})
+    boot = check_settings({**GOOD, "FaultTolerance": doc})
     assert (boot.tolerate, boot.tolerate_zones, boot.tolerate_regions) == (machines, zones, regions)
 
 
@@ -76,8 +76,8 @@
 def test_file_that_is_no_settings(tmp_path, raw):
     path = tmp_path / "s.json"
     path.write_bytes(raw)
-    with pytest.raises(BootFault) as e:
-        read_boot(str(path))
+    with pytest.raises(SettingsError) as e:
+        read_settings(str(path))
     assert e.value.field == "(file)"
 
 
@@ -85,12 +85,12 @@
     path = tmp_path / "s.json"
     path.write_text(json.dumps(GOOD))
     monkeypatch.setenv("ARCHHATCH_CONFIG", str(path))
-    assert read_boot().ip == "10.0.0.1"
+    assert read_settings().ip == "10.0.0.1"
 
 
 def test_missing_file():
-    with pytest.raises(BootFault):
-        read_boot("/nowhere/at/all.json")
+    with pytest.raises(SettingsError):
+        read_settings("/nowhere/at/all.json")
 
 
 def test_every_code_stands_in_the_docs():
--- a/tests/share_group/test_last_result.py
+++ b/tests/share_group/test_last_result.py
@@ -6,13 +6,13 @@
 import orjson
 import pytest
 
-from archhatch.share_group import Leader, State
-from archhatch.share_group.leader import Seat
-from archhatch.routing import Plan
-from archhatch.runtime import Board, Counters
+from archhatch.share_group import PartitionLeader, EntryState
+from archhatch.share_group.leader import WorkerState
+from archhatch.routing import RoutingTable
+from archhatch.runtime import StateBoard, Counters
 from archhatch.rollout_controller import Engines
 
-PLAN = Plan(
+PLAN = RoutingTable(
     {
         "Revision": 1,
         "ServiceTable": [{"Name": "s"}],
@@ -60,7 +60,7 @@
         clock=clock,
         quiet_s=1.0,
         beat_s=0.1,
-        board=Board(),
+        board=StateBoard(),
         id="me",
         ctr=Counters(),
         leaving=False,
@@ -68,10 +68,10 @@
         engines=Engines(),
         members=dict,
     )
-    lead = Leader(st)
+    lead = PartitionLeader(st)
     lead.sync()
     part = lead.runs["s"]
-    part.seats["w"] = Seat("w", "life", heard=clock.now())
+    part.seats["w"] = WorkerState("w", "life", heard=clock.now())
     win = part.windows["m"]
     for e in list(win.entries.values()):
         win.acquire(e, "w", clock.now())
@@ -109,6 +109,6 @@
         rest = [] if settled == "ab" or meanwhile == "ended" else [1]
         assert list(states) == rest
         if rest:
-            assert states[1] is (State.AVAILABLE if meanwhile in ("lock", "worker") else State.ACQUIRED)
+            assert states[1] is (EntryState.AVAILABLE if meanwhile in ("lock", "worker") else EntryState.ACQUIRED)
 
     run(go())
--- a/tests/share_group/test_run_times.py
+++ b/tests/share_group/test_run_times.py
@@ -5,11 +5,11 @@
 import pytest
 from tests.support.fakes import HandClock
 
-from archhatch.share_group import Leader
+from archhatch.share_group import PartitionLeader
 from archhatch.share_group.run_times import RunTimes
-from archhatch.share_group.led_partitions import LedRun
-from archhatch.routing import Plan
-from archhatch.runtime import Board
+from archhatch.share_group.led_partitions import LedPartitions
+from archhatch.routing import RoutingTable
+from archhatch.runtime import StateBoard
 from archhatch.rollout_controller import Engines
 
 ROW = {
@@ -49,12 +49,12 @@
     )
     for engine in engines.of("s"):
         engine.running["m"] = 2
-    plan = Plan({"Revision": 1, "RouteTable": [ROW], "ServiceTable": [{"Name": "s"}]})
-    store = SimpleNamespace(clock=clock, engines=engines, plan=plan, board=Board(), quiet_s=1.0)
+    plan = RoutingTable({"Revision": 1, "RouteTable": [ROW], "ServiceTable": [{"Name": "s"}]})
+    store = SimpleNamespace(clock=clock, engines=engines, plan=plan, board=StateBoard(), quiet_s=1.0)
     lot = SimpleNamespace(model="m", ended=False, least=2, taken=clock.now() - age, host="h", path="/l/x")
     reign = SimpleNamespace(run="s", lots={"lot": lot})
-    it = Leader(store)
-    run = it.runs["s"] = LedRun(reign, clock.now())
+    it = PartitionLeader(store)
+    run = it.runs["s"] = LedPartitions(reign, clock.now())
     run.queues["lot"] = SimpleNamespace(wanted=lambda now: waiting > 0, waiting=[waiting, 0])
     if took is not None:
         run.times.note("m", took)
--- a/tests/share_group/test_window.py
+++ b/tests/share_group/test_window.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from archhatch.share_group import BadMove, LotQueue, State, Window, WindowJournal
+from archhatch.share_group import InvalidTransitionError, JobQueue, EntryState, SharePartition, WindowJournal
 from archhatch.share_group.window_journal import EVERY, batches
 from archhatch.share_group.window import TABLE
 from archhatch.runtime import Counters
@@ -12,7 +12,7 @@
 
 
 def window(n=5, locks=200):
-    w = Window("m", 3, lock_s=30.0, most_locks=locks)
+    w = SharePartition("m", 3, lock_s=30.0, most_locks=locks)
     return w, [w.append(None, None, 0) for _ in range(n)]
 
 
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("state, trigger, after", MOVES)
 def test_moves(state, trigger, after):
-    assert TABLE.get((State[state], trigger)) == (State[after] if after else None)
+    assert TABLE.get((EntryState[state], trigger)) == (EntryState[after] if after else None)
 
 
 SETTLEMENTS = [  # who settles, with which delivery, at which offset, whether it counts
@@ -61,9 +61,9 @@
     if counts:
         assert w.settle(offset, worker, delivery, kind) is es[0]
     else:
-        with pytest.raises(BadMove):
+        with pytest.raises(InvalidTransitionError):
             w.settle(offset, worker, delivery, kind)
-        assert es[0].state is State.ACQUIRED and w.room() == 199
+        assert es[0].state is EntryState.ACQUIRED and w.room() == 199
 
 
 @pytest.mark.parametrize(
@@ -91,21 +91,21 @@
     w, es = window()
     w.acquire(es[0], "w1", 0.0)
     w.give_up(es[0])
-    with pytest.raises(BadMove):
+    with pytest.raises(InvalidTransitionError):
         w.settle(0, "w1", 1, "accept")
     w.acquire(es[0], "w1", 40.0)  # even by the same worker: another acquisition
-    with pytest.raises(BadMove):
+    with pytest.raises(InvalidTransitionError):
         w.settle(0, "w1", 1, "accept")
-    assert es[0].deliveries == 2 and w.settle(0, "w1", 2, "accept").state is State.ACKNOWLEDGED
+    assert es[0].deliveries == 2 and w.settle(0, "w1", 2, "accept").state is EntryState.ACKNOWLEDGED
 
 
 def test_locks_are_capped():
     w, es = window(4, locks=2)
     w.acquire(es[0], "w", 0.0)
     w.acquire(es[1], "w", 0.0)
-    with pytest.raises(BadMove):
+    with pytest.raises(InvalidTransitionError):
         w.acquire(es[2], "w", 0.0)
-    assert es[2].state is State.AVAILABLE and es[2].deliveries == 0
+    assert es[2].state is EntryState.AVAILABLE and es[2].deliveries == 0
     w.settle(0, "w", 1, "release")
     w.acquire(es[2], "w", 0.0)
     assert w.room() == 0
@@ -116,7 +116,7 @@
     for n in range(1, 200):
         w.acquire(es[0], "w", float(n))
         w.settle(0, "w", n, "release")
-    assert es[0].state is State.AVAILABLE and es[0].deliveries == 199
+    assert es[0].state is EntryState.AVAILABLE and es[0].deliveries == 199
 
 
 # -- state on disk
@@ -150,7 +150,7 @@
 
 
 def restored(recs, ctr=None):
-    w = Window("m", 4, 30.0, 200)
+    w = SharePartition("m", 4, 30.0, 200)
     j = WindowJournal("run", "m")
     j.restore(w, [(r.head, r.body) for r in recs], ctr or Counters())
     return w, j
@@ -262,7 +262,7 @@
 
 
 def queue(groups, want):
-    w, q = Window("m", 1, 30.0, 200), LotQueue(want)
+    w, q = SharePartition("m", 1, 30.0, 200), JobQueue(want)
     for rank, size in enumerate(groups):
         for _ in range(size):
             q.put(w.append(None, Item(f"g{rank}"), rank))
@@ -306,7 +306,7 @@
     """Random acquisitions, settlements, expiries, and a new leader that reads the state back in between."""
     rng = random.Random(seed)
     w, es = window(30)
-    q, j, recs, done, held = LotQueue(4), WindowJournal("run", "m"), [], set(), []
+    q, j, recs, done, held = JobQueue(4), WindowJournal("run", "m"), [], set(), []
     for n, e in enumerate(es):
         e.item, e.rank = Item(f"g{n // 4}"), n // 4
         q.put(e)
@@ -321,7 +321,7 @@
                 held.append((e, e.worker, e.deliveries))
         elif what in ("accept", "release") and held:
             e, worker, delivery = held.pop(rng.randrange(len(held)))
-            fresh = e.state is State.ACQUIRED and (e.worker, e.deliveries) == (worker, delivery)
+            fresh = e.state is EntryState.ACQUIRED and (e.worker, e.deliveries) == (worker, delivery)
             try:
                 w.settle(e.offset, worker, delivery, what)
                 assert fresh
@@ -331,7 +331,7 @@
                 else:
                     e.not_before = now + rng.choice([0, 0.5]) if rng.random() < 0.5 else 0.0
                     q.put(e, front=True)
-            except BadMove:
+            except InvalidTransitionError:
                 assert not fresh
         elif what == "expire":
             for e in w.expired(now):
--- a/tests/singleton_roles/test_singleton_roles.py
+++ b/tests/singleton_roles/test_singleton_roles.py
@@ -10,8 +10,8 @@
 
 from archhatch.singleton_roles import client
 from archhatch.singleton_roles.commands import KEEP_FINISHED, commands
-from archhatch.singleton_roles.effect import EffectFailed, protect
-from archhatch.singleton_roles.lease import DutyCallFailed
+from archhatch.singleton_roles.effect import EffectFailedError, protect
+from archhatch.singleton_roles.lease import RoleCallError
 from archhatch.singleton_roles.record import AUDIT_KEPT
 from archhatch.singleton_roles.watch import LeaseWatch
 
@@ -179,7 +179,7 @@
     async def call(self, name, key, **args):
         code, doc = self.ledger.run(name.removeprefix("duty."), self.node, key=key, fence=self.fence, **args)
         if code != DONE:
-            raise DutyCallFailed(code, doc)
+            raise RoleCallError(code, doc)
         return doc
 
 
@@ -231,12 +231,12 @@
         ledger = play([ASK_A])
 
         async def act(intent):
-            raise EffectFailed("no such zone")
+            raise EffectFailedError("no such zone")
 
         lease = OneLease(ledger, "a", 1)
-        with pytest.raises(EffectFailed):
+        with pytest.raises(EffectFailedError):
             await protect(lease, WINDOW, 1, act)
-        with pytest.raises(DutyCallFailed) as refusal:
+        with pytest.raises(RoleCallError) as refusal:
             await protect(lease, WINDOW, 1, act)
         assert (refusal.value.code, refusal.value.doc) == (FAILED, "no such zone")
 
@@ -370,7 +370,7 @@
             return answer
 
     monkeypatch.setattr(client, "ControlPlane", Control)
-    monkeypatch.setattr(client, "read_boot", lambda path: None)
-    assert client.DutyClient(SimpleNamespace(settings=None)).run(args) == status
+    monkeypatch.setattr(client, "read_settings", lambda path: None)
+    assert client.SingletonRoleClient(SimpleNamespace(settings=None)).run(args) == status
     out = capsys.readouterr()
     assert shown in out.out + out.err and calls == ([called] if called else [])
--- a/tests/store/test_lease.py
+++ b/tests/store/test_lease.py
@@ -12,7 +12,7 @@
 from archhatch.region_policy import Placement
 from archhatch.store.departure import Departure
 from archhatch.store.handlers import may_be_taken
-from archhatch.store.heartbeat import HeartbeatWord, Leading
+from archhatch.store.heartbeat import HeartbeatStatus, Leading
 from archhatch.store.lease import OthersLease, OwnLease, Phase, Step, others_step, own_step
 from archhatch.store.evacuation import EvacuationSupport
 from archhatch.store.lease_watch import LeaseWatch
@@ -422,7 +422,7 @@
 
 
 def test_the_word_of_an_earlier_version_is_read():
-    word = HeartbeatWord.read({"card": {"id": "a"}, "promised": None, "lag": 0.1})
+    word = HeartbeatStatus.read({"card": {"id": "a"}, "promised": None, "lag": 0.1})
     assert word.takes and not word.departing and word.leads is None
-    full = HeartbeatWord({"id": "a"}, {"s": 1}, 0.2, False, False, True, 1.5, {"s": Leading(4, 0.25, ("b",))})
-    assert HeartbeatWord.read(orjson.loads(orjson.dumps(full.doc()))) == full
+    full = HeartbeatStatus({"id": "a"}, {"s": 1}, 0.2, False, False, True, 1.5, {"s": Leading(4, 0.25, ("b",))})
+    assert HeartbeatStatus.read(orjson.loads(orjson.dumps(full.doc()))) == full
--- a/tests/support/standins.py
+++ b/tests/support/standins.py
@@ -12,7 +12,7 @@
 from archhatch.control.node import ControlNode
 from archhatch.store.node import StoreNode
 from archhatch.runtime import open_logs
-from archhatch.runtime.settings import check_boot
+from archhatch.runtime.settings import check_settings
 from archhatch.data_plane.edge import Edge
 
 LOG = open_logs("test", "CRITICAL")
@@ -149,7 +149,7 @@
             "core": {"ControlPlane": f"{ip}:{self.control}"},
             "store": {},
         }[kind]
-        return check_boot(
+        return check_settings(
             {
                 "NodeName": f"{kind}-{ip}",
                 "Role": kind,
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -8,7 +8,7 @@
 from tests.support.standins import lot, plan
 from tests.system.test_system import holder, world
 
-from archhatch.jobs import Deposed
+from archhatch.jobs import DeposedError
 from archhatch.rpc import CallError
 
 
@@ -377,7 +377,7 @@
             for c in cuts:
                 c.heal()
             for task in (put, note):
-                with pytest.raises(Deposed):
+                with pytest.raises(DeposedError):
                     await task
             assert reign.state == "over"
             assert await w.read_all("lot1") == rows
--- a/tests/system/test_fuzz_external_input.py
+++ b/tests/system/test_fuzz_external_input.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 from tests.support.standins import lot, plan
 
-from archhatch.jobs import BadLot, check_lot, read_lot
-from archhatch.control.api_requests import BadCall, decode
+from archhatch.jobs import InvalidJobError, check_job, read_job
+from archhatch.control.api_requests import InvalidRequestError, decode
 from archhatch.control.config_commands import commands
-from archhatch.routing.routes import Plan
-from archhatch.routing.schemas import PlanFault, check_plan
+from archhatch.routing.routes import RoutingTable
+from archhatch.routing.schemas import InvalidConfigError, check_config
 from archhatch.runtime.numbers import read_count, read_decimal
 
 SHORT = settings(max_examples=60, deadline=None, derandomize=True)
@@ -67,10 +67,10 @@
 def test_a_lot_is_refused_or_can_be_run(data):
     raw = orjson.dumps(mutated(lot(groups=1), data.draw, data.draw(st.integers(1, 3))), option=orjson.OPT_NON_STR_KEYS)
     try:
-        model = check_lot("l1", raw)
-    except BadLot:
+        model = check_job("l1", raw)
+    except InvalidJobError:
         return
-    taken = read_lot({"lot": "l1", "run": "r", "host": "h", "path": "/p/"}, raw, 0.0)
+    taken = read_job({"lot": "l1", "run": "r", "host": "h", "path": "/p/"}, raw, 0.0)
     assert taken.model == model and taken.total == len(taken.items) > 0
     for item in taken.items.values():
         assert item.tokens >= 0 and sendable(item.path, item.heads)
@@ -84,8 +84,8 @@
     tenants = [{"Name": "t", "ApiKeys": ["k1", "k2"], "Priority": 1}]
     doc = mutated({**plan(), "TenantTable": tenants}, data.draw, data.draw(st.integers(1, 3)))
     try:
-        ready = Plan(check_plan(doc))
-    except PlanFault as e:
+        ready = RoutingTable(check_config(doc))
+    except InvalidConfigError as e:
         assert "k1" not in str(e) and "k2" not in str(e)
         return
     ready.lane("h.example", "/q/x")
@@ -105,7 +105,7 @@
     code, _, changed, after = commands.run_apart(val, "plan.patch", args)
     assert code in (1000, 2001, 2002) and changed is (code == 1000)
     assert after["plan"]["Revision"] == (2 if changed else 1)
-    check_plan(after["plan"])
+    check_config(after["plan"])
 
 
 METHODS = st.sampled_from(["GET", "PUT", "POST", "PATCH", "DELETE", "BREW"])
@@ -123,7 +123,7 @@
     heads = {"If-Match": data.draw(ODD_TEXT)}
     try:
         decode(method, path, heads, body)
-    except BadCall as e:
+    except InvalidRequestError as e:
         assert 2000 <= e.code < 3000
 
 
--- a/tests/system/test_hardening.py
+++ b/tests/system/test_hardening.py
@@ -5,7 +5,7 @@
 import pytest
 from tests.data_plane.test_at_most_once import EVENTS, RESET, SEAL, Bare, Front, head
 
-from archhatch.upstream import AGAIN, Caller, Ran
+from archhatch.upstream import AGAIN, UpstreamClient, Ran
 
 THREE = {
     "X-Archhatch-Model": "m 1, ö".encode().decode("latin-1"),
@@ -43,7 +43,7 @@
     """The kernel's buffers cannot hold the body: most of it goes out after the answer came."""
 
     async def go():
-        replica, caller = await Reader().start(), Caller()
+        replica, caller = await Reader().start(), UpstreamClient()
         bodies = [bytes([n]) * (8 << 20) for n in (1, 2)]
         for body in bodies:
             task = asyncio.ensure_future(caller.send(replica.addr, "i", "POST", "/x", [], body, "r", 20.0, AGAIN))
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize("then", ["close", RESET])
 def test_an_answer_that_ends_with_its_connection_is_never_passed_on_as_whole(run, then):
     async def go():
-        replica, caller = await Bare(ENDLESS, then).start(), Caller()
+        replica, caller = await Bare(ENDLESS, then).start(), UpstreamClient()
         ans = await caller.send(replica.addr, "i", "POST", "/x", [], b"body", "r", 5.0, AGAIN)
         assert ans.ran is Ran.MAYBE and not ans.good
         await caller.close()
@@ -75,7 +75,7 @@
 
 def test_the_heads_that_say_what_a_request_takes_are_the_clients(run):
     async def go():
-        replica, caller = await Bare(OK).start(), Caller()
+        replica, caller = await Bare(OK).start(), UpstreamClient()
         ans = await caller.send(replica.addr, "i", "POST", "/x", list(THREE.items()), b"body", "r", 5.0, AGAIN)
         assert ans.ran is Ran.YES
         for name, value in THREE.items():
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -5,7 +5,7 @@
 import pytest
 from tests.support.fakes import HandClock
 
-from archhatch.upstream import AGAIN, ONCE, Caller, Picker, Ran
+from archhatch.upstream import AGAIN, ONCE, UpstreamClient, LoadBalancer, Ran
 
 OK = b"HTTP/1.1 200 OK\r\nX-Archhatch-Request-Id: %s\r\nX-Archhatch-Reply-Seal: s\r\n%sContent-Length: 2\r\n\r\nok"
 
@@ -47,7 +47,7 @@
 
     async def go():
         clock = HandClock()
-        rep, caller = await Forgetful(clock, after, keep_alive).start(), Caller(now=clock.now)
+        rep, caller = await Forgetful(clock, after, keep_alive).start(), UpstreamClient(now=clock.now)
         out = []
         for n, (idle, mode) in enumerate(steps):
             clock.at += idle
@@ -96,7 +96,7 @@
 @pytest.mark.parametrize("stale, state", [(True, "fit"), (False, "doubtful")])
 def test_a_forgotten_connection_is_no_ill_health(run, stale, state):
     out, _ = play(run, [(0, ""), (5, "")], 2)
-    p = Picker("z")
+    p = LoadBalancer("z")
     p.fold([{"id": "i", "addr": "a:1", "service": "s", "zone": "z", "slots": 6, "state": "up"}])
     out[1].stale = stale
     p.judge(p.all["i"], out[1], 1.0, 0.01, 0.1)
@@ -127,7 +127,7 @@
             except (asyncio.IncompleteReadError, OSError):
                 wr.close()
 
-        srv, caller = await asyncio.start_server(serve, "127.0.0.1", 0), Caller(now=clock.now)
+        srv, caller = await asyncio.start_server(serve, "127.0.0.1", 0), UpstreamClient(now=clock.now)
         addr = f"127.0.0.1:{srv.sockets[0].getsockname()[1]}"
         answers = []
         for _ in range(2):
@@ -150,7 +150,7 @@
             tries.append(await rd.readuntil(b"\r\n\r\n"))
             wr.transport.abort()
 
-        srv, caller = await asyncio.start_server(serve, "127.0.0.1", 0), Caller()
+        srv, caller = await asyncio.start_server(serve, "127.0.0.1", 0), UpstreamClient()
         addr = f"127.0.0.1:{srv.sockets[0].getsockname()[1]}"
         ans = await caller.send(addr, "i", "POST", "/x", [("X-Archhatch-Request-Id", "r")], b"", "r", 5.0, AGAIN)
         assert (ans.ran, ans.stale, len(tries)) == (Ran.MAYBE, False, 1)
@@ -180,7 +180,7 @@
             except (asyncio.IncompleteReadError, OSError):
                 wr.close()
 
-        srv, caller = await asyncio.start_server(serve, "127.0.0.1", 0), Caller(now=clock.now)
+        srv, caller = await asyncio.start_server(serve, "127.0.0.1", 0), UpstreamClient(now=clock.now)
         addr = f"127.0.0.1:{srv.sockets[0].getsockname()[1]}"
         for body in (b"one", b"two" * 9999):
             clock.at += 1
@@ -197,7 +197,10 @@
 def test_a_connection_too_old_to_use_is_not_called_warm(run):
     async def go():
         clock = HandClock()
-        rep, caller = await Forgetful(clock, keep_alive=b"Keep-Alive: timeout=5\r\n").start(), Caller(now=clock.now)
+        rep, caller = (
+            await Forgetful(clock, keep_alive=b"Keep-Alive: timeout=5\r\n").start(),
+            UpstreamClient(now=clock.now),
+        )
         await caller.send(rep.addr, "i", "GET", "/x", [("X-Archhatch-Request-Id", "r")], b"", "r", 5.0, AGAIN)
         assert caller.idle(rep.addr)
         clock.at += 4.5
--- a/tests/upstream/test_late_answers.py
+++ b/tests/upstream/test_late_answers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from archhatch.upstream import Caller, Ran
+from archhatch.upstream import UpstreamClient, Ran
 
 OK = b"HTTP/1.1 200 OK\r\nX-Archhatch-Request-Id: %s\r\nX-Archhatch-Reply-Seal: s\r\nContent-Length: 2\r\n\r\n%s"
 
@@ -44,7 +44,7 @@
             extra = OK % (b"a", b"AA") if rid == b"a" else b""
             return OK % (rid, rid * 2) + extra, False
 
-        srv, caller = await replica(script), Caller()
+        srv, caller = await replica(script), UpstreamClient()
         assert (await ask(caller, srv, "a")).body == b"aa"
         for rid in ("b", "c"):
             ans = await ask(caller, srv, rid)
@@ -78,7 +78,7 @@
 @pytest.mark.parametrize("raw, close, ran", CASES)
 def test_what_an_answer_proves(run, raw, close, ran):
     async def go():
-        srv, caller = await replica(lambda rid: (raw, close)), Caller()
+        srv, caller = await replica(lambda rid: (raw, close)), UpstreamClient()
         assert (await ask(caller, srv, "r")).ran is ran
         await caller.close()
         srv.close()
@@ -88,12 +88,12 @@
 
 def test_silence_proves_nothing_and_a_dead_port_that_it_did_not_run(run):
     async def go():
-        srv, caller = await replica(lambda rid: (b"", False)), Caller()
+        srv, caller = await replica(lambda rid: (b"", False)), UpstreamClient()
         ans = await ask(caller, srv, "r", secs=0.05)
         assert ans.ran is Ran.MAYBE and ans.silent
         srv.close()
         await srv.wait_closed()
-        fresh = Caller()
+        fresh = UpstreamClient()
         gone = await replica(lambda rid: (b"", False))
         addr = f"127.0.0.1:{gone.sockets[0].getsockname()[1]}"
         gone.close()
--- a/tests/upstream/test_load_balancer.py
+++ b/tests/upstream/test_load_balancer.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from archhatch.upstream import Picker
+from archhatch.upstream import LoadBalancer
 
 
 def picker(**changes):
-    p = Picker("z1", "me", rest_s=1.0)
+    p = LoadBalancer("z1", "me", rest_s=1.0)
     p.fold([{"id": i, "addr": f"{i}:1", "service": "s", "zone": "z1", "slots": 6, "state": "up"} for i in ("a", "b")])
     for name, val in changes.items():
         setattr(p.all["a"], name, val)
--- a/tests/upstream/test_subset.py
+++ b/tests/upstream/test_subset.py
@@ -8,12 +8,12 @@
 from aiohttp import web
 from tests.support.fakes import HandClock
 
-from archhatch.membership import Roll
+from archhatch.membership import ReplicaRegistry
 from archhatch.control.node import ControlNode
-from archhatch.control.peers import Told
+from archhatch.control.peers import PeerReport
 from archhatch.runtime import open_logs
-from archhatch.runtime.settings import check_boot
-from archhatch.upstream import Caller, Picker
+from archhatch.runtime.settings import check_settings
+from archhatch.upstream import UpstreamClient, LoadBalancer
 from archhatch.upstream.subset import HOME, Subset
 from archhatch.rollout_controller import Engines
 
@@ -36,7 +36,7 @@
 
 
 def picker(me, count, zone="z1", **kw):
-    p = Picker(zone, me, widen=0.5, **kw)
+    p = LoadBalancer(zone, me, widen=0.5, **kw)
     p.fold(ents(count))
     return p
 
@@ -120,7 +120,7 @@
 
 
 def test_who_makes_all_calls_uses_all_replicas_before_it_waits():
-    p = Picker("z1", "store")
+    p = LoadBalancer("z1", "store")
     p.fold(ents(40))
     for _ in range(40):
         p.pick("s", set(), 0.0).under_way += 1
@@ -167,7 +167,7 @@
 
 @pytest.mark.parametrize("widen, looked", [(0.5, 8), (0.0, 1000)])
 def test_when_all_are_busy_one_of_many_nodes_looks_at_some(widen, looked):
-    p = Picker("z1", "e", widen=widen)
+    p = LoadBalancer("z1", "e", widen=widen)
     p.fold(ents(4000))
     for t in p.all.values():
         t.under_way = 4
@@ -192,7 +192,7 @@
 
         srv = web.Server(serve, access_log=None)
         site = await asyncio.get_running_loop().create_server(srv, "127.0.0.1", 0)
-        addr, caller = f"127.0.0.1:{site.sockets[0].getsockname()[1]}", Caller()
+        addr, caller = f"127.0.0.1:{site.sockets[0].getsockname()[1]}", UpstreamClient()
 
         async def ask(n):
             return await caller.send(addr, "i", "GET", "/", [("X-Archhatch-Request-Id", n)], b"", n, 5.0)
@@ -226,7 +226,7 @@
 
 
 def boot(n):
-    return check_boot(
+    return check_settings(
         {
             "NodeName": f"c{n}",
             "Role": "core",
@@ -263,7 +263,7 @@
         doc = orjson.loads(orjson.dumps(a.peers.ping_doc(b.addr)))
         assert ["state" in e for e in doc["roll"]] == [[True] * 3, [False] * 3, [False, True, False], [False] * 3][step]
         assert b.peers.heed(doc) is False
-        a.peers.told[b.addr] = Told(b.life, a.roll.beat_turn)
+        a.peers.told[b.addr] = PeerReport(b.life, a.roll.beat_turn)
         assert b.roll.all == a.roll.all
     assert a.peers.ping_doc(b.addr)["roll"] == []
 
@@ -290,7 +290,7 @@
         a = core()
         for e in ents(3):
             a.roll.beat({**e, "seq": 1}, 0.0)
-        a.peers.told["b:1"] = Told("x", 2)
+        a.peers.told["b:1"] = PeerReport("x", 2)
         a.peers.heed, a.serving = lambda out: False, lambda: True
         a.beat_s = 30.0  # one round only: its pause outlasts the test
 
@@ -311,7 +311,7 @@
 
 
 def test_short_beats_keep_the_order_of_turns():
-    roll = Roll()
+    roll = ReplicaRegistry()
     for e in ents(3):
         roll.beat({**e, "seq": 1}, 0.0)
     roll.beat({**ents(3)[0], "seq": 2}, 0.0)
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -10,7 +10,7 @@
 from archhatch.rpc import CallError
 from archhatch.usage import collector
 from archhatch.usage.collector import UsageCollector
-from archhatch.usage.counter import WINDOWS_KEPT, UsageTeller
+from archhatch.usage.counter import WINDOWS_KEPT, UsageSender
 
 VOTERS = {"s1": "1:1", "s2": "2:1", "s3": "3:1"}
 
@@ -42,7 +42,7 @@
         parts={"plan": {"ledger": {"accounting": {"voters": VOTERS, "stamp": 0}}}},
     )
     boot = types.SimpleNamespace(node="e1", secs=lambda name: 5.0)
-    return UsageTeller(boot, news, stores, clock, Counters(), life)
+    return UsageSender(boot, news, stores, clock, Counters(), life)
 
 
 def test_sums_are_told_to_two_and_once_told_not_again(run):
