--- a/lines/cordboard/recalls.py
+++ b/lines/cordboard/recalls.py
@@ -45,11 +45,14 @@
 
     def move_on(self) -> None:
         """A planned move: entries that run where they should no longer run are recalled, as far as there are free
-        places where they go on; their texts are kept."""
+        places where they go on; their texts are kept. Not by a leader that is to hand its run on: texts that came back
+        to it would end with its term, while entries that run are taken up by the next leader, which recalls them."""
         st = self.st
         if not any(move.settling for move in st.placement.moves.all):
             return
-        for run in self.leader.runs.values():
+        for name, run in self.leader.runs.items():
+            if st.evacuation.leads_elsewhere(name):
+                continue
             lanes = {lid: lane_of(st.plan, run.reign.lots[lid]) for lid in run.queues if lid in run.reign.lots}
             for lid, lane in lanes.items():
                 if lane is not None:
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -39,40 +39,48 @@
 @pytest.mark.parametrize("killed_in", [None, "announced", "preparing", "moving", "returning"])
 def test_a_move_and_the_way_home(run, tmp_path, timed, killed_in):
     """Load of each kind before, during and after; a request of each kind is at work when the move begins."""
-
-    async def go():
-        w = await day(tmp_path)
-        try:
-            await w.load("before", lambda k: k >= 4)
-            assert (await w.planned())[0] == 200 and not w.tenant.notices
-            if killed_in == "announced":
-                w.tenant.mood = "refusing"
-            held = [asyncio.ensure_future(w.one("n", "cut", "held", 1)), asyncio.ensure_future(w.lots("cut", "held"))]
-            held.append(asyncio.ensure_future(w.one("s", "cut", "held", 0)))
-            at_work = {"n", "s", "roll"}
-            await w.until(w.edge.board, "nothing", lambda: at_work <= kinds_at_work(w, "attica"))
-            assert (await w.evacuate("/e1/start"))[0] == 200
-            await w.load_until("moving", move(w, killed_in))
-            assert w.regions_of("before") == {"attica"}
-            await w.load("away", lambda k: k >= 4)
-            await asyncio.gather(*held)
-            held_lot = runs_of(w, "thessaly", "cut.lot.held")
-            assert w.regions_of("away") == {"thessaly"}
-            assert 3 in held_lot and set(held_lot) <= {1, 3}  # what ran went on behind its text, the rest began there
-            streams = [(r.zone, first) for r in w.replicas for rid, first, _ in r.runs if rid == "cut.s.held.0"]
-            assert sorted(streams) == [("z1", 1), ("z2", 4)]  # after the event that came when the move was on
-            assert (await w.evacuate("/e1/return"))[0] == 200
-            await w.load_until("home", home(w, killed_in))
-            await w.load("after", lambda k: k >= 4)
-            assert w.regions_of("after") == {"attica"}
-            assert not seen_of(w).faults()
-            names = [notice.name for notice in w.tenant.acknowledged]
-            assert {"e1.move", "e1.return"} == set(names) and all(sound(n) for n in w.tenant.notices)
-            assert w.tenant.notices[0].doc["Tenant"] == "yards"
-        finally:
-            await w.finish()
-
-    run(go(), 100)
+    run(a_move_and_the_way_home(tmp_path, killed_in), 100)
+
+
+def test_a_move_and_the_way_home_with_streams_that_stand_still(run, tmp_path, timed):
+    """The same, where a stream that stands still is not taken for a dead one: every held item has to be recalled."""
+    run(a_move_and_the_way_home(tmp_path, "moving", silent_s=5.0), 100)
+
+
+async def a_move_and_the_way_home(tmp_path, killed_in, silent_s=None):
+    w = await day(tmp_path)
+    if silent_s is not None:
+        for store in w.stores.values():
+            store.gap_s = lambda: silent_s
+    try:
+        await w.load("before", lambda k: k >= 4)
+        assert (await w.planned())[0] == 200 and not w.tenant.notices
+        if killed_in == "announced":
+            w.tenant.mood = "refusing"
+        held = [asyncio.ensure_future(w.one("n", "cut", "held", 1)), asyncio.ensure_future(w.lots("cut", "held"))]
+        held.append(asyncio.ensure_future(w.one("s", "cut", "held", 0)))
+        at_work = {"n", "s", "roll"}
+        await w.until(w.edge.board, "nothing", lambda: at_work <= kinds_at_work(w, "attica"))
+        assert (await w.evacuate("/e1/start"))[0] == 200
+        await w.load_until("moving", move(w, killed_in))
+        assert w.regions_of("before") == {"attica"}
+        await w.load("away", lambda k: k >= 4)
+        await asyncio.gather(*held)
+        held_lot = runs_of(w, "thessaly", "cut.lot.held")
+        assert w.regions_of("away") == {"thessaly"}
+        assert 3 in held_lot and set(held_lot) <= {1, 3}  # what ran went on behind its text, the rest began there
+        streams = [(r.zone, first) for r in w.replicas for rid, first, _ in r.runs if rid == "cut.s.held.0"]
+        assert sorted(streams) == [("z1", 1), ("z2", 4)]  # after the event that came when the move was on
+        assert (await w.evacuate("/e1/return"))[0] == 200
+        await w.load_until("home", home(w, killed_in))
+        await w.load("after", lambda k: k >= 4)
+        assert w.regions_of("after") == {"attica"}
+        assert not seen_of(w).faults()
+        names = [notice.name for notice in w.tenant.acknowledged]
+        assert {"e1.move", "e1.return"} == set(names) and all(sound(n) for n in w.tenant.notices)
+        assert w.tenant.notices[0].doc["Tenant"] == "yards"
+    finally:
+        await w.finish()
 
 
 def kinds_at_work(w, region):
--- /dev/null
+++ b/tests/test_recalls.py
@@ -0,0 +1,61 @@
+"""Who recalls the items of a planned move: the leader of the run, unless another is to lead it."""
+
+from types import SimpleNamespace
+
+import pytest
+
+from lines.cordboard.led_run import RECALL
+from lines.cordboard.queue import LotQueue
+from lines.cordboard.recalls import Recalls
+from lines.cordboard.window import Window
+from lines.frame.counters import Counters
+
+
+def leader(elsewhere):
+    """A leader of one run, with an item of one lot at a replica that it should leave, and a free place elsewhere."""
+    lot = SimpleNamespace(lid="lot1", host="h.example", path="/roll/x")
+    window = Window("m", 1, lock_s=30.0, most_locks=200)
+    entry = window.append(lot, SimpleNamespace(iid="0-0", group="0"), 0)
+    window.acquire(entry, "w1", 0.0)
+    entry.engine = SimpleNamespace(iid="i-1", zone="z1")
+    run = SimpleNamespace(
+        reign=SimpleNamespace(run="llm", lots={"lot1": lot}), queues={"lot1": LotQueue(0)}, windows={"m": window}
+    )
+    st = SimpleNamespace(
+        ctr=Counters(),
+        plan=SimpleNamespace(lane=lambda host, path: "lane"),
+        engines=SimpleNamespace(all={}),
+        placement=SimpleNamespace(
+            moves=SimpleNamespace(all=[SimpleNamespace(settling=True)]), leaves=lambda lane, zone: zone == "z1"
+        ),
+        evacuation=SimpleNamespace(leads_elsewhere=lambda name: name in elsewhere),
+    )
+    broken = []
+    return SimpleNamespace(
+        st=st,
+        places=SimpleNamespace(room_for=lambda run, lanes: len(lanes)),
+        runs={"llm": run},
+        break_off=lambda run, entry, why: broken.append((entry.offset, why)),
+        broken=broken,
+        entry=entry,
+    )
+
+
+@pytest.mark.parametrize(
+    "elsewhere, broken", [(set(), [(0, RECALL)]), ({"quote"}, [(0, RECALL)]), ({"llm"}, [])], ids=str
+)
+def test_a_leader_that_is_to_hand_its_run_on_recalls_nothing(elsewhere, broken):
+    one = leader(elsewhere)
+    for _ in range(2):
+        Recalls(one).move_on()
+    assert one.broken == broken and one.entry.recalled is bool(broken)
+
+
+def test_what_one_leader_left_running_the_next_one_recalls():
+    elsewhere = {"llm"}
+    one = leader(elsewhere)
+    Recalls(one).move_on()
+    assert not one.broken
+    elsewhere.clear()
+    Recalls(one).move_on()
+    assert one.broken == [(0, RECALL)]
