--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -806,3 +806,95 @@
     assert sorted(path.name for path in tmp_path.iterdir()) == ["ledger.1", "store"]
     assert (tmp_path / "store").read_bytes() == kept("store.appended")
     assert (tmp_path / "ledger.1").read_bytes() == kept("ledger.rewritten")
+
+
+# -- what earlier releases wrote, in the forms that the code says it still reads; nothing writes these any more
+
+EARLIER_STATE = {
+    "stamp": 4,
+    "val": {"runs": {"llm": "a mark from before terms were noted"}, "named": {"llm": 2}},
+    "voters": {"f-10.0.0.1": "10.0.0.1:1"},
+    "prev": None,
+}
+EARLIER_CORE = [  # ballots that name no life
+    {"id": "f-10.0.0.1", "founders": {"f-10.0.0.1": "10.0.0.1:1"}},
+    {"p": "plan", "b": [1, "f-10.0.0.1"]},
+    {"p": "plan", "b": [1, "f-10.0.0.1"], "ab": [1, "f-10.0.0.1"], "s": EARLIER_STATE},
+    {"p": "p0", "b": [0, ""], "ab": [0, ""], "s": None},
+]
+UNSENDABLE = {"Model": "llm-a", "Entries": [{"InstanceId": "i1", "Path": "/a b", "HeaderMap": {"A": "b\nc"}}]}
+EARLIER_STORE = [  # a lot without a tenant or a place in the step log, which would not be taken today; an order
+    ({"k": "I", "id": "s-0001"}, b""),
+    ({"k": "P", "run": "llm", "term": 1}, b""),
+    ({"k": "L", "lot": "lot-1", "run": "llm", "host": "h", "path": "/p/"}, orjson.dumps(UNSENDABLE)),
+    ({"k": "R", "lot": "lot-1", "run": "llm", "pos": 0, "term": 1, "item": "i1"}, b'{"InstanceId":"i1"}'),
+    ({"k": "O", "lot": "", "run": "llm", "iid": "replica-1"}, b""),
+]
+
+
+def _build_earlier():
+    """The kept files of earlier forms, made without the code."""
+    heads = [(orjson.dumps(head), body) for head, body in EARLIER_STORE]
+    return {
+        "core.earlier": b"".join(frame(orjson.dumps(record)) for record in EARLIER_CORE),
+        "store.earlier": b"".join(frame(struct.pack(">I", len(head)) + head + body) for head, body in heads),
+    }
+
+
+def test_the_kept_files_of_earlier_forms_are_these():
+    for name, data in _build_earlier().items():
+        assert data == kept(name)
+
+
+def test_an_earlier_log_of_a_control_node_is_read_and_written_on(run, tmp_path):
+    (tmp_path / "core").write_bytes(kept("core.earlier"))
+    (tmp_path / "core.new").write_bytes(frame(b"{}")[:9])  # a rewrite that an earlier release did not finish
+    state = _core_state(tmp_path)
+    assert only_file(tmp_path, "core") == ("core", kept("core.earlier"))
+    assert state["id"] == "f-10.0.0.1" and state["founders"] == {"f-10.0.0.1": "10.0.0.1:1"}
+    plan = {"promised": [1, "f-10.0.0.1", ""], "ballot": [1, "f-10.0.0.1", ""], "state": EARLIER_STATE, "base": 4}
+    assert state["votes"]["plan"] == plan
+    assert state["votes"]["p0"] == {"promised": [0, "", ""], "ballot": [0, "", ""], "state": None, "base": 0}
+
+    async def go():
+        node = await _core_node(tmp_path)
+        node.registers.start()
+        node.peers.spread_commit = lambda *told: None
+        node.registers.proposers["plan"].life = "a-life"
+        assert (await node.registers.run_here("plan", "run.begin", {"run": "llm", "term": 1}, 30.0))[0] == 1000
+        await node.book.close()
+
+    run(go())
+    ballot = [1, "f-10.0.0.1", "a-life"]
+    state = {**EARLIER_STATE, "stamp": 5, "val": {**EARLIER_STATE["val"], "runs": {"llm": 1}}}
+    behind = [{"p": "plan", "b": ballot}, {"p": "plan", "b": ballot, "ab": ballot, "s": state}]
+    added = b"".join(frame(orjson.dumps(record)) for record in behind)
+    assert (tmp_path / "core").read_bytes() == kept("core.earlier") + added
+
+
+def test_an_earlier_log_of_a_store_is_read_and_served(run, tmp_path):
+    (tmp_path / "store").write_bytes(kept("store.earlier"))
+
+    async def go():
+        clock = HandClock()
+        shelf = RecordStore(WriteAheadLog(str(tmp_path), "store", clock=clock), clock, Counters())
+        shelf.load(shelf.book.load())
+        told = shelf.told("llm")
+        assert shelf.id == "s-0001" and shelf.promised == {"llm": 1}
+        assert told["lots"] == {"lot-1": {"lot": True, "end": False, "results": [[0, 1, "i1"]]}}
+        assert (told["orders"], told["noted"], told["tick"]) == ({"replica-1": 0.0}, {}, None)
+        shelf.book.start()
+        store = FakeStore(clock)
+        store.shelf = store.shelves["me"] = shelf
+        store.copier = _LogCopier(store)
+        reign = await _hold_run(store, "llm", 2)
+        lot = reign.lots["lot-1"]
+        assert (lot.model, lot.base, lot.tenant, [r.head["item"] for r in lot.results]) == ("llm-a", 0, None, ["i1"])
+        await shelf.book.close()
+
+    run(go())
+    raws = [orjson.dumps({"k": "P", "run": "llm", "term": 2})]
+    raws += [orjson.dumps({**EARLIER_STORE[3][0], "term": 2, "t": 0.0})]
+    bodies = [b"", EARLIER_STORE[3][1]]
+    added = b"".join(frame(struct.pack(">I", len(h)) + h + b) for h, b in zip(raws, bodies, strict=True))
+    assert (tmp_path / "store").read_bytes() == kept("store.earlier") + added
