--- a/archhatch/autoscaler/controller.py
+++ b/archhatch/autoscaler/controller.py
@@ -25,11 +25,11 @@
 class CapacityController:
     """run() looks after every service with `Autoscale`.
 
-    >>> # controller = CapacityController(store); crew.keep("capacity", controller.run)
+    >>> # controller = CapacityController(store); task_group.keep("capacity", controller.run)
     """
 
     def __init__(self, store, platform: PlatformClient | None = None):
-        self.st = store
+        self.store = store
         self.lease = StandingLease(store, NAMESPACE)
         self.platform = platform
         self._scalers: dict[str, ServiceScaler] = {}
@@ -38,8 +38,8 @@
     @property
     def enabled(self) -> bool:
         """Whether the platform takes orders of replicas here."""
-        cloud = self.st.boot.cloud
-        return cloud is not None and DUTY in cloud.duties
+        platform_api = self.store.settings.platform_api
+        return platform_api is not None and DUTY in platform_api.duties
 
     async def run(self) -> None:
         """Look at all services again and again."""
@@ -47,19 +47,19 @@
             return
         while True:
             await asyncio.sleep(LOOK_S)
-            if self.lease.may_act() and self.st.plan is not None:
+            if self.lease.may_act() and self.store.plan is not None:
                 self.look()
             else:
                 self._scalers.clear()
 
     def look(self) -> None:
         """Finish orders that were begun, and give those that are due."""
-        duties = self.st.ledger.duties(NAMESPACE)
+        duties = self.store.ledger.duties(NAMESPACE)
         latest = latest_orders(duties)
         for subject, (number, duty) in latest.items():
             if duty["state"] == RoleState.RUNNING.value:
                 self._start(subject, number, duty["intent"])
-        for name, service in self.st.plan.services.items():
+        for name, service in self.store.plan.services.items():
             limits = ScaleLimits.read(service)
             if limits is not None:
                 self._look_at(name, limits, latest)
@@ -70,7 +70,7 @@
         counts = {zone: count if ordered[zone] is None else ordered[zone] for zone, count in there.items()}
         if not counts:
             return
-        now, scaler = self.st.clock.now(), self._scalers.setdefault(service, ServiceScaler())
+        now, scaler = self.store.clock.now(), self._scalers.setdefault(service, ServiceScaler())
         total = sum(counts.values())
         wanted = scaler.want(now, total, self._pressure(service), limits)
         if wanted == total:
@@ -85,7 +85,7 @@
 
     def _there(self, service: str) -> dict:
         """Replicas by zone that stay, as far as the registry knows."""
-        replicas = (self.st.picker.by_service.get(service) or {}).values()
+        replicas = (self.store.load_balancer.by_service.get(service) or {}).values()
         return dict(Counter(replica.zone for replica in replicas if not replica.draining))
 
     def _ordered(self, latest: dict, service: str, zone: str) -> int | None:
@@ -94,28 +94,28 @@
 
     def _pressure(self, service: str) -> float:
         """The share of its places that a service needs, for its lots and for its live requests."""
-        replicas = [r for r in (self.st.picker.by_service.get(service) or {}).values() if not r.draining]
+        replicas = [r for r in (self.store.load_balancer.by_service.get(service) or {}).values() if not r.draining]
         places = sum(replica.slots for replica in replicas)
         if not places:
             return 0.0
-        lots = self.st.membership.places_wanted(service)
-        live = self.st.news.busy.get(service, 0) / LIVE_SHARE
-        return (lots + live) / places
+        batch_jobs = self.store.membership.places_wanted(service)
+        live = self.store.config_watcher.busy.get(service, 0) / LIVE_SHARE
+        return (batch_jobs + live) / places
 
     # -- orders
 
     def _start(self, subject: str, number: int, order: dict) -> None:
         task = self._sending.get(subject)
         if task is None or task.done():
-            self._sending[subject] = self.st.crew.once("capacity", self._order, subject, number, order)
+            self._sending[subject] = self.store.task_group.once("capacity", self._order, subject, number, order)
 
     async def _order(self, subject: str, number: int, order: dict) -> None:
         try:
             await protect(self.lease, f"{NAMESPACE}/{subject}:{number}", order, self._send, self._observe)
         except RoleCallError as e:
-            self.st.ctr.add(f"capacity.put_off.{e.code}")
+            self.store.counters.add(f"capacity.put_off.{e.code}")
         except EffectFailedError as e:
-            self.st.log.error("capacity: {}: {}", order, e)
+            self.store.log.error("capacity: {}: {}", order, e)
 
     async def _observe(self, order: dict) -> str | None:
         """Whether an order whose holder fell silent has been carried out: so many replicas are there."""
@@ -123,7 +123,7 @@
         return "observed" if found else None
 
     async def _send(self, order: dict) -> str:
-        self.st.log.info("capacity: {}", order)
+        self.store.log.info("capacity: {}", order)
         return await self.platform.deliver(f"/{NAMESPACE}", order, self.lease)
 
 
--- a/archhatch/capacity/command.py
+++ b/archhatch/capacity/command.py
@@ -18,9 +18,9 @@
 def verb(name: str):
     """Register what `capacity NAME` does."""
 
-    def put(fn):
-        VERBS[name] = fn
-        return fn
+    def put(function):
+        VERBS[name] = function
+        return function
 
     return put
 
@@ -38,12 +38,12 @@
 
     def run(self, args: list) -> int:
         """0: done; 1: the page is stale, or something could not be measured; 2: wrong use or an unusable file."""
-        fn = VERBS.get(args[0]) if len(args) == 1 else None
-        if fn is None:
+        function = VERBS.get(args[0]) if len(args) == 1 else None
+        if function is None:
             print(f"archhatch: capacity: say one of {', '.join(sorted(VERBS))}", file=sys.stderr)
             return 2
         try:
-            return fn(self)
+            return function(self)
         except SizeError as e:
             print(f"archhatch: {e}", file=sys.stderr)
             return 2
--- a/archhatch/capacity/meter.py
+++ b/archhatch/capacity/meter.py
@@ -28,12 +28,12 @@
     async def _cpu(self, probe: Probe, n: int) -> float:
         took = []
         for _ in range(self.repeats):
-            async with probe.make(n) as (fn, ops):
+            async with probe.make(n) as (function, ops):
                 gc.collect()
                 gc.disable()
                 began = self.clock()
                 try:
-                    out = fn()
+                    out = function()
                     if inspect.isawaitable(out):
                         await out
                     took.append((self.clock() - began) / ops)
@@ -46,17 +46,17 @@
         return min([await self._bytes(probe, n) for _ in range(self.repeats)])
 
     async def _bytes(self, probe: Probe, n: int) -> float:
-        async with probe.make(n) as (fn, ops):
-            out = fn()
+        async with probe.make(n) as (function, ops):
+            out = function()
             return (await out if inspect.isawaitable(out) else out) / ops
 
     async def _memory(self, probe: Probe, n: int) -> float:
-        async with probe.make(n) as (fn, ops):
+        async with probe.make(n) as (function, ops):
             gc.collect()
             tracemalloc.start()
             try:
                 began = tracemalloc.get_traced_memory()[0]
-                kept = fn()
+                kept = function()
                 kept = await kept if inspect.isawaitable(kept) else kept
                 gc.collect()
                 return (tracemalloc.get_traced_memory()[0] - began) / ops
--- a/archhatch/capacity/probe.py
+++ b/archhatch/capacity/probe.py
@@ -25,11 +25,11 @@
 def probe(name: str, kind: str, what: str, x: str, sizes: tuple):
     """Register an async generator of a size that yields (function, operations).
 
-    >>> # @probe("roll.beat", "cpu", "fold beats", "beats", (500, 2000)) over: async def _beat(n): yield fn, 1
+    >>> # @probe("roll.beat", "cpu", "fold beats", "beats", (500, 2000)) over: async def _beat(n): yield function, 1
     """
 
-    def put(fn):
-        PROBES[name] = Probe(name, kind, what, x, sizes, contextlib.asynccontextmanager(fn))
-        return fn
+    def put(function):
+        PROBES[name] = Probe(name, kind, what, x, sizes, contextlib.asynccontextmanager(function))
+        return function
 
     return put
--- a/archhatch/capacity/probes/__init__.py
+++ b/archhatch/capacity/probes/__init__.py
@@ -1,3 +1,3 @@
 """The probes, by the part of the system that they measure."""
 
-from . import agreement, control, edge, lots, process, shares  # noqa: F401
+from . import agreement, control, edge, batch_jobs, process, shares  # noqa: F401
--- a/archhatch/capacity/probes/agreement.py
+++ b/archhatch/capacity/probes/agreement.py
@@ -13,26 +13,26 @@
 VOTERS = 3
 
 
-async def owner(folders: list, val: dict):
+async def owner(folders: list, value: dict):
     """An owner over keepers with a write-ahead log each; calls between them are encoded as on a connection."""
     counters = need("runtime", "Counters")()
-    book = need("wal", "WriteAheadLog", "load", "append")
+    wal = need("wal", "WriteAheadLog", "load", "append")
     keep = need("consensus", "Acceptor", "prepare", "accept", "confirm")
-    books = [book(f, "core") for f in folders]
+    books = [wal(f, "core") for f in folders]
     for b in books:
         b.load()
         b.start()
     keepers = {f"a{n}": keep("plan", b, counters) for n, b in enumerate(books)}
-    base = {"stamp": 1, "val": val, "voters": {a: a for a in keepers}, "prev": None}
+    base = {"stamp": 1, "val": value, "voters": {a: a for a in keepers}, "prev": None}
 
-    async def asked(addr, verb, doc):
+    async def asked(address, verb, doc):
         doc = orjson.loads(orjson.dumps(doc))
-        one, ballot = keepers[addr], tuple(doc["ballot"])
+        one, proposal_number = keepers[address], tuple(doc["ballot"])
         if verb == "part.accept":
-            out = await one.accept(ballot, doc["state"])
+            out = await one.accept(proposal_number, doc["state"])
         else:
-            out = await (one.prepare if verb == "part.prepare" else one.confirm)(ballot)
-        return orjson.loads(orjson.dumps({"me": addr, **out}))
+            out = await (one.prepare if verb == "part.prepare" else one.confirm)(proposal_number)
+        return orjson.loads(orjson.dumps({"me": address, **out}))
 
     own = need("consensus", "Proposer", "do")(
         "plan", "a0", need("control.registers", "commands"), asked, lambda: base, lambda *a: None, counters, 5.0
@@ -47,13 +47,13 @@
     if code != 1000:
         raise ValueError(f"noop gives {code}")
 
-    async def fn():
+    async def function():
         for k in range(times):
             code, doc = await own.do(*change(k))
             if code != 1000:
                 raise ValueError(f"a command gives {code}: {doc}")
 
-    yield fn, times
+    yield function, times
     await settle("asked")  # writes that the majority did not wait for
     for b in books:
         await b.close()
@@ -87,12 +87,12 @@
 @probe("book.append", "cpu", "append records to a write-ahead log, synced", "records", (50, 200, 800))
 async def _append(n):
     with folder() as path:
-        book = need("wal", "WriteAheadLog", "load", "append")(path, "tolls", Quiet())
-        book.load()
-        book.start()
+        wal = need("wal", "WriteAheadLog", "load", "append")(path, "tolls", Quiet())
+        wal.load()
+        wal.start()
         raws = [b"x" * 400] * n
-        yield (lambda: book.append(*raws)), 1
-        await book.close()
+        yield (lambda: wal.append(*raws)), 1
+        await wal.close()
 
 
 @probe("plan.check", "cpu", "check a configuration", "routes", (50, 200, 800))
@@ -103,7 +103,7 @@
 
 @probe("plan.make", "cpu", "make a configuration ready for look-ups", "routes", (50, 200, 800))
 async def _make(n):
-    made, doc = need("routing", "RoutingTable", "lane"), plan(n)
+    made, doc = need("routing", "RoutingTable", "route"), plan(n)
     yield (lambda: [made(doc) for _ in range(5)]), 5
 
 
--- a/archhatch/capacity/probes/lots.py
+++ b/archhatch/capacity/probes/batch_jobs.py
@@ -8,38 +8,38 @@
 
 from ..needs import need
 from ..probe import probe
-from .made import Quiet, entry, folder, lot, prose, settle
+from .made import Quiet, entry, folder, batch_job, prose, settle
 
 SOME = (128, 512, 2048)
 
 
 @probe("lot.check", "cpu", "check a lot at an edge", "items", SOME)
 async def _check(n):
-    check, raw = need("jobs", "check_job"), orjson.dumps(lot(n))
+    check, raw = need("jobs", "check_job"), orjson.dumps(batch_job(n))
     yield (lambda: check("a", raw)), 1
 
 
 @probe("lot.read", "cpu", "read a lot in at its holder", "items", SOME)
 async def _read(n):
-    read, raw = need("jobs", "read_job"), orjson.dumps(lot(n))
+    read, raw = need("jobs", "read_job"), orjson.dumps(batch_job(n))
     head = {"lot": "a", "run": "service-00", "host": "h", "path": "/roll/"}
     yield (lambda: read(head, raw, 0.0)), 1
 
 
 @probe("lot.bytes", "bytes", "a lot as it is handed in", "items", SOME)
 async def _bytes(n):
-    yield (lambda: len(orjson.dumps(lot(n)))), 1
+    yield (lambda: len(orjson.dumps(batch_job(n)))), 1
 
 
 @probe("lot.memory", "memory", "a lot in hand beside its bytes", "items", (512, 2048))
 async def _memory(n):
     read = need("jobs", "read_job")
 
-    def fn():
-        raw = orjson.dumps(lot(n))
+    def function():
+        raw = orjson.dumps(batch_job(n))
         return read({"lot": "a", "run": "service-00", "host": "h", "path": "/roll/"}, raw, 0.0), raw
 
-    yield fn, 1
+    yield function, 1
 
 
 def sample(n: int, size: int = 4000):
@@ -69,8 +69,8 @@
 
 @probe("records.pack", "cpu", "pack results of 4,000 bytes for another store", "results", (50, 200, 800))
 async def _pack(n):
-    pack, recs = need("jobs.record", "pack_many"), [sample(i) for i in range(n)]
-    yield (lambda: [pack(recs) for _ in range(5)]), 5
+    pack, records = need("jobs.record", "pack_many"), [sample(i) for i in range(n)]
+    yield (lambda: [pack(records) for _ in range(5)]), 5
 
 
 @probe("records.unpack", "cpu", "unpack them", "results", (50, 200, 800))
@@ -85,25 +85,27 @@
 
     def __init__(self):
         self.tmp, frame = folder(), "runtime"
-        self.ctr = need(frame, "Counters")()
-        self.book = need("wal", "WriteAheadLog", "load", "start")(self.tmp.name, "store", Quiet())
-        self.shelf = need("jobs", "RecordStore", "append", "load")(self.book, need(frame, "Clock")(), self.ctr)
+        self.counters = need(frame, "Counters")()
+        self.wal = need("wal", "WriteAheadLog", "load", "start")(self.tmp.name, "store", Quiet())
+        self.record_store = need("jobs", "RecordStore", "append", "load")(
+            self.wal, need(frame, "Clock")(), self.counters
+        )
 
     def open(self):
-        self.shelf.load(self.book.load())
-        self.book.start()
+        self.record_store.load(self.wal.load())
+        self.wal.start()
         return self
 
     async def close(self):
-        await self.book.close()
+        await self.wal.close()
         self.tmp.cleanup()
 
 
 @probe("shelf.append", "cpu", "take records of 4,000 bytes, one sync for all", "results", (50, 200, 800))
 async def _append(n):
     kept = Kept().open()
-    recs = [sample(i) for i in range(n)]
-    yield (lambda: kept.shelf.append(recs)), 1
+    records = [sample(i) for i in range(n)]
+    yield (lambda: kept.record_store.append(records)), 1
     await kept.close()
 
 
@@ -122,27 +124,27 @@
         def __init__(self, to):
             self.to = to
 
-        async def call(self, verb, doc, body, secs):
-            return 1000, await self.to.shelf.append(unpack(body)), b""
+        async def call(self, verb, doc, body, timeout_s):
+            return 1000, await self.to.record_store.append(unpack(body)), b""
 
-    lines = types.SimpleNamespace(to=lambda addr: Connection(kept[int(addr)]))
-    crew = need("runtime", "TaskGroup")(Quiet(), kept[0].ctr)
+    lines = types.SimpleNamespace(to=lambda address: Connection(kept[int(address)]))
+    task_group = need("runtime", "TaskGroup")(Quiet(), kept[0].counters)
     members = {f"s{i}": {"state": "active", "addr": str(i), "zone": f"zone-{i:02d}"} for i in range(3)}
     quorum = need("jobs", "Quorum", "enough", "pick")(2)  # two machines may be lost: three copies
-    copier = need("jobs", "Replicator", "put")(
-        "s0", kept[0].shelf, lines, lambda: members, lambda sid: True, crew, kept[0].ctr, 5.0, quorum
+    replicator = need("jobs", "Replicator", "put")(
+        "s0", kept[0].record_store, lines, lambda: members, lambda sid: True, task_group, kept[0].counters, 5.0, quorum
     )
-    recs = [sample(i) for i in range(n)]
+    records = [sample(i) for i in range(n)]
 
-    async def fn():
-        for rec in recs:
-            await copier.put("service-00", 1, [rec])
-        if not all(copier.enough(rec) for rec in recs):
+    async def function():
+        for record in records:
+            await replicator.put("service-00", 1, [record])
+        if not all(replicator.enough(record) for record in records):
             raise ValueError("a record has too few copies")
 
-    yield fn, 1
+    yield function, 1
     await settle("Replicator._here")
-    await crew.end()
+    await task_group.end()
     for k in kept:
         await k.close()
 
@@ -152,11 +154,11 @@
     reader = need("upstream.event_stream", "EventReader", "feed")()
     raws = [b"id: %d\ndata: token%d\n\n" % (i, i) for i in range(n)]
 
-    def fn():
+    def function():
         for raw in raws:
             reader.feed(raw)
 
-    yield fn, 1
+    yield function, 1
 
 
 @probe("engines.memory", "memory", "engines at a store", "replicas", (500, 1500))
--- a/archhatch/capacity/probes/control.py
+++ b/archhatch/capacity/probes/control.py
@@ -8,31 +8,31 @@
 
 from ..needs import need
 from ..probe import probe
-from .made import Quiet, Sink, beat_body, boot, entry, plan
+from .made import Quiet, Sink, beat_body, settings, entry, plan
 
 SOME = (1000, 3000, 9000)
 OTHER = "10.0.0.2:1"  # another control node
 
 
 def full_roll(n: int):
-    roll = need("membership.replica_registry", "ReplicaRegistry", "beat", "since", "sweep", "beats_since")()
+    registry = need("membership.replica_registry", "ReplicaRegistry", "beat", "since", "sweep", "beats_since")()
     for i in range(n):
-        roll.beat(entry(i), 0.0)
-    return roll
+        registry.beat(entry(i), 0.0)
+    return registry
 
 
 def core(n: int, routes: int = 0):
     """A control node's object that was never started, with a roll of n and a majority of one."""
-    one = need("control.node", "ControlNode", "in_touch", "serving")(boot(), Quiet())
+    one = need("control.node", "ControlNode", "in_touch", "serving")(settings(), Quiet())
     one.id = "f-127.0.0.1"
     one.known["plan"] = {
         "stamp": 5,
         "val": {"plan": plan(routes)} if routes else {},
         "prev": None,
-        "voters": {one.id: one.addr},
+        "voters": {one.id: one.address},
     }
     for i in range(n):
-        one.roll.beat(entry(i), one.clock.now())
+        one.registry.beat(entry(i), one.clock.now())
     return one
 
 
@@ -46,14 +46,14 @@
     return sink.size
 
 
-def ask(turn: int, life: str, stamps: dict, hold: float = 0.0) -> dict:
+def ask(turn: int, incarnation: str, stamps: dict, hold: float = 0.0) -> dict:
     """An edge's question for news."""
     return {
         "live": {},
         "busy": [],
         "who": {"id": "e", "klass": "edge", "name": "e", "ip": "127.0.0.1", "zone": "z"},
         "stamps": stamps,
-        "life": life,
+        "life": incarnation,
         "turn": turn,
         "hold": hold,
     }
@@ -61,36 +61,36 @@
 
 @probe("roll.beat", "cpu", "fold one beat into the roll", "beats", SOME)
 async def _beat(n):
-    roll = full_roll(n)
+    registry = full_roll(n)
     again = [entry(i, 2) for i in range(n)]
 
-    def fn():
+    def function():
         for ent in again:
-            roll.beat(ent, 1.0)
+            registry.beat(ent, 1.0)
 
-    yield fn, 1
+    yield function, 1
 
 
 @probe("roll.since", "cpu", "look for changed entries, none changed", "replicas", SOME)
 async def _since(n):
-    roll = full_roll(n)
+    registry = full_roll(n)
 
-    def fn():
+    def function():
         for _ in range(20):
-            roll.since(roll.turn)
+            registry.since(registry.turn)
 
-    yield fn, 20
+    yield function, 20
 
 
 @probe("roll.sweep", "cpu", "one sweep for silent replicas", "replicas", SOME)
 async def _sweep(n):
-    roll = full_roll(n)
+    registry = full_roll(n)
 
-    def fn():
+    def function():
         for _ in range(10):
-            roll.sweep(1.0, 3.0)
+            registry.sweep(1.0, 3.0)
 
-    yield fn, 10
+    yield function, 10
 
 
 @probe("roll.memory", "memory", "a roll in a control node", "replicas", (1000, 4000))
@@ -101,9 +101,9 @@
 def told(n: int):
     """A control node that told another one all replicas, and since then heard a beat of each that says nothing new."""
     one = core(n)
-    one.peers.told[OTHER] = need("control.peers", "PeerReport")("x", one.roll.beat_turn)
+    one.peers.told[OTHER] = need("control.peers", "PeerReport")("x", one.registry.beat_turn)
     for i in range(n):
-        one.roll.beat(entry(i, 2), one.clock.now())
+        one.registry.beat(entry(i, 2), one.clock.now())
     return one
 
 
@@ -111,11 +111,11 @@
 async def _ping(n):
     one, pack, env = told(n), need("rpc.framing", "pack"), need("rpc", "Envelope")
 
-    def fn():
+    def function():
         for _ in range(10):
             pack(env(call=1, verb="core.ping", head=orjson.dumps(one.peers.ping_doc(OTHER))))
 
-    yield fn, 10
+    yield function, 10
 
 
 @probe("ping.take", "cpu", "read a ping with beats that say nothing new and fold it", "beats", (100, 400, 1600))
@@ -123,20 +123,20 @@
     here, there = core(0), core(n)
     there.id = here.id  # the card of the same node: no second ping loop is begun
     here.peers.heed(orjson.loads(orjson.dumps(there.peers.ping_doc(OTHER))))  # the whole entries
-    there.peers.told[OTHER] = need("control.peers", "PeerReport")("x", there.roll.beat_turn)
+    there.peers.told[OTHER] = need("control.peers", "PeerReport")("x", there.registry.beat_turn)
     raws = []
     for k in range(5):
         for i in range(n):
-            there.roll.beat(entry(i, k + 2), there.clock.now())
+            there.registry.beat(entry(i, k + 2), there.clock.now())
         raws.append(orjson.dumps(there.peers.ping_doc(OTHER)))
 
-    def fn():
+    def function():
         for raw in raws:
             if here.peers.heed(orjson.loads(raw)):
                 raise ValueError("a beat told in short was not known")
 
-    yield fn, 5
-    await here.crew.end()
+    yield function, 5
+    await here.task_group.end()
 
 
 @probe("ping.bytes", "bytes", "a framed ping with beats that say nothing new", "beats", (100, 400, 1600))
@@ -163,45 +163,45 @@
 async def _whole(n):
     one = core(n)
 
-    async def fn():
+    async def function():
         for _ in range(5):
             await serve(one, "news", ask(0, "", {}))
 
-    yield fn, 5
+    yield function, 5
 
 
 @probe("news.one", "cpu", "answer a reader with one changed entry", "replicas", SOME)
 async def _one(n):
     one = core(n)
 
-    async def fn():
+    async def function():
         for _ in range(30):
-            await serve(one, "news", ask(one.roll.turn - 1, one.life, {"plan": 5}))
+            await serve(one, "news", ask(one.registry.turn - 1, one.incarnation, {"plan": 5}))
 
-    yield fn, 30
+    yield function, 30
 
 
 @probe("news.bytes", "bytes", "an answer with changed entries", "entries", (100, 400, 1600))
 async def _bytes(n):
     one = core(n)
-    yield (lambda: serve(one, "news", ask(0, one.life, {"plan": 5}))), 1
+    yield (lambda: serve(one, "news", ask(0, one.incarnation, {"plan": 5}))), 1
 
 
 @probe("news.plan_bytes", "bytes", "an answer with the whole configuration", "routes", (50, 200, 800))
 async def _plan_bytes(n):
     one = core(0, n)
-    yield (lambda: serve(one, "news", ask(0, one.life, {}))), 1
+    yield (lambda: serve(one, "news", ask(0, one.incarnation, {}))), 1
 
 
 @probe("news.plan", "cpu", "answer a reader with the whole configuration", "routes", (50, 200, 800))
 async def _plan(n):
     one = core(0, n)
 
-    async def fn():
+    async def function():
         for _ in range(10):
-            await serve(one, "news", ask(0, one.life, {}))
+            await serve(one, "news", ask(0, one.incarnation, {}))
 
-    yield fn, 10
+    yield function, 10
 
 
 @probe("beat.call", "cpu", "decode, fold and answer a beat, without its HTTP", "beats", (500, 1000, 2000))
@@ -210,11 +210,11 @@
     need("control.admin_api", "AdminApi", "beat")
     raws = [(f"/api/instances/{entry(i)['id']}", beat_body(i, 9)) for i in range(n)]
 
-    async def fn():
+    async def function():
         for path, raw in raws:
             await one.administration.beat(decode("PUT", path, {}, raw))
 
-    yield fn, 1
+    yield function, 1
 
 
 @probe("news.fold", "cpu", "fold changed entries at a reader", "entries", SOME)
@@ -222,16 +222,16 @@
     reader = made_reader()
     seqs = itertools.count(1)
 
-    def fn():
+    def function():
         reader.fold({"life": "x", "turn": next(seqs), "cores": [], "parts": {}, "busy": {}, "roll": fresh})
 
     fresh = [entry(i) for i in range(n)]
-    yield fn, 1
+    yield function, 1
 
 
 def made_reader():
     """A reader of news that asks nobody."""
-    b, frame = boot(), "runtime"
+    b, frame = settings(), "runtime"
     return need("membership", "ConfigWatcher", "fold", "take_roll")(
         b, {"id": "e"}, None, need(frame, "StateBoard")(), need(frame, "Clock")(), need(frame, "Counters")()
     )
@@ -239,11 +239,11 @@
 
 @probe("news.memory", "memory", "a roll in a reader of news", "replicas", (1000, 4000))
 async def _reader_memory(n):
-    def fn():
+    def function():
         reader = made_reader()
         raw = orjson.dumps([entry(i) for i in range(n)])
         reader.fold({"life": "x", "turn": 1, "cores": [], "parts": {}, "busy": {}, "roll": orjson.loads(raw)})
         reader.take_roll()
         return reader
 
-    yield fn, 1
+    yield function, 1
--- a/archhatch/capacity/probes/edge.py
+++ b/archhatch/capacity/probes/edge.py
@@ -6,11 +6,11 @@
 
 from ..needs import need
 from ..probe import probe
-from .made import Quiet, beat_body, boot, entry, plan
+from .made import Quiet, beat_body, settings, entry, plan
 from .peers import Peers
 
 
-def picker(n: int, service: str | None = None):
+def load_balancer(n: int, service: str | None = None):
     """A picker that knows n replicas, of one service if it is named."""
     one = need("upstream", "LoadBalancer", "fold", "pick")("zone-00", "edge-00", widen=0.5)
     one.fold([{**entry(i), "service": service or entry(i)["service"]} for i in range(n)])
@@ -19,48 +19,48 @@
 
 @probe("picker.new", "cpu", "fold one replica that is new among those known", "replicas known", (500, 1000, 2000))
 async def _new(n):
-    one = picker(n)
+    one = load_balancer(n)
     fresh = [entry(n + i) for i in range(100)]
     yield (lambda: one.fold(fresh)), 100
 
 
 @probe("picker.again", "cpu", "fold changed entries of known replicas", "entries", (500, 1000, 2000))
 async def _again(n):
-    one = picker(n)
+    one = load_balancer(n)
     same = [entry(i, 2) for i in range(n)]
     yield (lambda: one.fold(same)), 1
 
 
 @probe("picker.pick", "cpu", "pick a replica among those of its service", "replicas of the service", (50, 200, 800))
 async def _pick(n):
-    one = picker(n, "s")
+    one = load_balancer(n, "s")
 
-    def fn():
+    def function():
         for _ in range(20):
             one.pick("s", set(), 1.0)
 
-    yield fn, 20
+    yield function, 20
 
 
 @probe("picker.memory", "memory", "a picker", "replicas", (500, 1500))
 async def _memory(n):
-    yield (lambda: picker(n)), 1
+    yield (lambda: load_balancer(n)), 1
 
 
 class Through:
     """An edge's window with the ways of a request behind it, and peers on both sides."""
 
     async def open(self):
-        self.edge = one = need("data_plane.edge", "Edge", "_front")(boot(), Quiet())
+        self.edge = one = need("data_plane.edge", "Edge", "_front")(settings(), Quiet())
         self.peers = Peers()
         port = self.peers.start()
-        one.caller = need("upstream", "UpstreamClient", "ask")()
-        args = (one.caller, one.picker, one.clock, one.ctr, one.live)
+        one.upstream_client = need("upstream", "UpstreamClient", "ask")()
+        args = (one.upstream_client, one.load_balancer, one.clock, one.counters, one.live)
         one.forward = need("data_plane.forward", "Forward", "run")(*args)
         one.relay = need("data_plane.relay", "Relay", "run")(*args)
         one.plan = need("routing", "RoutingTable")(plan(4))
-        one.picker.fold([{**entry(i), "addr": f"127.0.0.1:{port}", "id": f"i-{i}"} for i in (0, 2)][:1])
-        one.picker.fold([{**entry(2), "addr": f"localhost:{port}", "id": "i-1"}])
+        one.load_balancer.fold([{**entry(i), "addr": f"127.0.0.1:{port}", "id": f"i-{i}"} for i in (0, 2)][:1])
+        one.load_balancer.fold([{**entry(2), "addr": f"localhost:{port}", "id": "i-1"}])
         await one.window.open("127.0.0.1:0")
         return self
 
@@ -72,7 +72,7 @@
 
     async def close(self):
         await self.edge.window.close(0)
-        await self.edge.caller.close()
+        await self.edge.upstream_client.close()
         self.peers.end()
 
 
@@ -128,10 +128,10 @@
     need("control.admin_api", "AdminApi", "answer")
     await one.window.open("127.0.0.1:0")
 
-    async def fn():
+    async def function():
         began = time.thread_time()
         await asyncio.to_thread(BeatPeer(one.window.port(), n))
         return time.thread_time() - began
 
-    yield fn, 1
+    yield function, 1
     await one.window.close(0)
--- a/archhatch/capacity/probes/made.py
+++ b/archhatch/capacity/probes/made.py
@@ -107,7 +107,7 @@
     return (text[at:] + text * (size // len(text) + 1))[:size]
 
 
-def lot(items: int, prompt: int = 1500) -> dict:
+def batch_job(items: int, prompt: int = 1500) -> dict:
     """A lot of so many items in groups of 8, each with a prompt and a scorer."""
     pay = base64.b64encode(prose(prompt).encode()).decode()
     return {
@@ -135,7 +135,7 @@
     }
 
 
-def boot(folder: str | None = None, ip: str = "127.0.0.1"):
+def settings(folder: str | None = None, ip: str = "127.0.0.1"):
     """Settings of one node that founds a system of its own."""
     return need("runtime.settings", "check_settings")(
         {
@@ -162,7 +162,7 @@
     def __getattr__(self, name):
         return self._put
 
-    def _put(self, *args, **kw):
+    def _put(self, *args, **kwargs):
         return self
 
 
--- a/archhatch/capacity/probes/process.py
+++ b/archhatch/capacity/probes/process.py
@@ -13,24 +13,26 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
 SHOW = (
-    "import sys; sys.path[:0] = {path!r}\nimport {mod}\n"
+    "import sys; sys.path[:0] = {path!r}\nimport {module}\n"
     "print([r for r in open('/proc/self/status') if r.startswith('VmRSS')][0].split()[1])"
 )
 
 
-def resident(mod: str) -> int:
+def resident(module: str) -> int:
     """Bytes in memory of a fresh process that loaded a module."""
-    code = SHOW.format(path=[os.path.join(ROOT, "target", "deps"), ROOT], mod=mod)
+    code = SHOW.format(path=[os.path.join(ROOT, "target", "deps"), ROOT], module=module)
     out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=20)
     if out.returncode:
-        raise ValueError(f"{mod} cannot be loaded: {out.stderr.strip().splitlines()[-1:]}")
+        raise ValueError(f"{module} cannot be loaded: {out.stderr.strip().splitlines()[-1:]}")
     return int(out.stdout) * 1024
 
 
-def _resident(name: str, mod: str) -> None:
-    @probe(name, "bytes", f"a process that loaded {mod} and holds nothing (the same at each size)", "nothing", (0, 1))
+def _resident(name: str, module: str) -> None:
+    @probe(
+        name, "bytes", f"a process that loaded {module} and holds nothing (the same at each size)", "nothing", (0, 1)
+    )
     async def _one(n):
-        yield (lambda: resident(mod)), 1
+        yield (lambda: resident(module)), 1
 
 
 for _name, _mod in (
@@ -49,18 +51,18 @@
     async def _ping(doc, body):
         return {"ok": True}
 
-    ctr = need("runtime", "Counters")()
-    desk = need("rpc", "Server", "open", "port", "close")(verbs, Quiet(), ctr)
+    counters = need("runtime", "Counters")()
+    desk = need("rpc", "Server", "open", "port", "close")(verbs, Quiet(), counters)
     await desk.open("127.0.0.1:0")
-    lines = need("rpc", "ConnectionPool", "to", "end")(ctr)
+    lines = need("rpc", "ConnectionPool", "to", "end")(counters)
     line = lines.to(f"127.0.0.1:{desk.port()}")
     await line.call("ping", {})
 
-    async def fn():
+    async def function():
         for _ in range(n):
-            await line.call("ping", {"a": 1}, secs=5.0)
+            await line.call("ping", {"a": 1}, timeout_s=5.0)
 
-    yield fn, 1
+    yield function, 1
     lines.end()
     await desk.close()
     await asyncio.sleep(0)
@@ -77,10 +79,10 @@
     pack, read, env = need("rpc.framing", "pack"), need("rpc.framing", "read_frame"), need("rpc", "Envelope")
     raw = pack(env(call=1, verb="x", body=prose(n).encode()))
 
-    async def fn():
+    async def function():
         for _ in range(5):
             rd = asyncio.StreamReader(limit=1 << 24)
             rd.feed_data(raw)
             await read(rd)
 
-    yield fn, 5
+    yield function, 5
--- a/archhatch/capacity/probes/shares.py
+++ b/archhatch/capacity/probes/shares.py
@@ -9,7 +9,7 @@
 
 from ..needs import need
 from ..probe import probe
-from .made import SERVICES, entry, lot, plan
+from .made import SERVICES, entry, batch_job, plan
 
 RUN, MODEL, WORKERS, OF_SERVICE = "service-03", "model-03", 18, 250
 
@@ -23,13 +23,13 @@
     def __init__(self, replicas: int, places: int):
         frame = "runtime"
         head = {"lot": "a", "run": RUN, "host": "host3.example", "path": "/path3/x"}
-        self.lot = need("jobs", "read_job")(head, orjson.dumps({**lot(2048, 64), "Model": MODEL}), 0.0)
-        self.lot.base = 0
+        self.batch_job = need("jobs", "read_job")(head, orjson.dumps({**batch_job(2048, 64), "Model": MODEL}), 0.0)
+        self.batch_job.base = 0
         self.engines = need("rollout_controller", "Engines", "fold", "of", "count")()
         self.engines.fold([{**entry(i), "service": RUN, "models": {MODEL: 7}} for i in range(replicas)])
-        self.reign = types.SimpleNamespace(
+        self.leadership = types.SimpleNamespace(
             state="holding",
-            lots={"a": self.lot},
+            batch_jobs={"a": self.batch_job},
             fresh=lambda: True,
             run=RUN,
             term=1,
@@ -38,18 +38,18 @@
             over=lambda: None,
         )
         names = [f"w{i:02d}" for i in range(WORKERS)]
-        self.ctr = need(frame, "Counters")()
+        self.counters = need(frame, "Counters")()
         store = types.SimpleNamespace(
             id="w99",
-            life="x",
-            reigns={RUN: self.reign},
+            incarnation="x",
+            leaderships={RUN: self.leadership},
             engines=self.engines,
             plan=need("routing", "RoutingTable")(plan(SERVICES)),
             clock=need(frame, "Clock")(),
-            board=need(frame, "StateBoard")(),
+            state_board=need(frame, "StateBoard")(),
             news=types.SimpleNamespace(busy={}),
-            ctr=self.ctr,
-            beat_s=0.2,
+            counters=self.counters,
+            heartbeat_interval_s=0.2,
             quiet_s=60.0,
             leaving=False,
             alive=lambda sid: True,
@@ -59,15 +59,15 @@
         self.leader = need("share_group", "PartitionLeader", "fetch", "commit", "sync", "_wake", "_hand_out")(store)
         self.names, self.places, self.polls = names, places, itertools.count(1)
 
-    async def _list(self, lot, iid, doc) -> None:
-        lot.done.add(iid)  # copies have a probe of their own
+    async def _list(self, batch_job, iid, doc) -> None:
+        batch_job.done.add(iid)  # copies have a probe of their own
 
     async def open(self):
         """All workers say that they hold nothing; then one of them drives replicas with free places."""
-        fresh, self.reign.fresh = self.reign.fresh, lambda: False
+        fresh, self.leadership.fresh = self.leadership.fresh, lambda: False
         for i, name in enumerate(self.names):
             await self._fetch(name, f"zone-{i:02d}", [])
-        self.reign.fresh = fresh
+        self.leadership.fresh = fresh
         run = self.leader.runs[RUN]
         mine = self.engines.of(RUN)
         self.worker = self.leader.places.driver(run, mine[0])
@@ -142,11 +142,11 @@
 async def _fetch(n):
     led = await Led(n, 1).open()
 
-    async def fn():
+    async def function():
         for _ in range(10):
             await led.go()
 
-    yield fn, 10
+    yield function, 10
 
 
 @probe(
@@ -159,11 +159,11 @@
 async def _batch(n):
     led = await Led(OF_SERVICE, n).open()
 
-    async def fn():
+    async def function():
         for _ in range(5):
             await led.go()
 
-    yield fn, 5
+    yield function, 5
 
 
 @probe(
@@ -172,18 +172,18 @@
 async def _turn(n):
     led = await Led(n, 1).open()
 
-    def fn():
+    def function():
         for _ in range(20):
             led.turn()
 
-    yield fn, 20
+    yield function, 20
 
 
 @probe("window.settle", "cpu", "acquire and accept the entries of a window", "entries", (50, 100, 200))
 async def _settle(n):
     made = need("share_group", "SharePartition", "append", "acquire", "settle")
 
-    def fn():
+    def function():
         win = made("m", 1, 30.0, 200)
         rows = [win.append(None, None, 0) for _ in range(n)]
         for e in rows:
@@ -193,4 +193,4 @@
         if win.start != n:
             raise ValueError(f"the window starts at {win.start}, not {n}")
 
-    yield fn, 1
+    yield function, 1
--- a/archhatch/capacity/reckon.py
+++ b/archhatch/capacity/reckon.py
@@ -33,9 +33,9 @@
     >>> # def _conns(q): return 4000, 700
     """
 
-    def put(fn):
-        ROWS.append((role, figure, unit, how, budget, fn))
-        return fn
+    def put(function):
+        ROWS.append((role, figure, unit, how, budget, function))
+        return function
 
     return put
 
@@ -71,9 +71,9 @@
     def rows(self) -> list[Row]:
         """All figures, in the order of the roles."""
         out = []
-        for role, figure, unit, how, budget, fn in ROWS:
+        for role, figure, unit, how, budget, function in ROWS:
             self.used = []
-            landed, built = fn(self)
+            landed, built = function(self)
             out.append(
                 Row(role, figure, unit, landed, built, budget(self.s) if budget else None, how, tuple(self.used))
             )
--- a/archhatch/capacity/roles/core.py
+++ b/archhatch/capacity/roles/core.py
@@ -139,7 +139,7 @@
 
 @row(CORE, "processor time: all of these on the mean", "core", "all of these", budget=lambda s: s.machine_core)
 def _all_cpu(q):
-    parts = [fn(q) for fn in (_beat_cpu, _ping_cpu, _news_cpu, _sweep)]
+    parts = [function(q) for function in (_beat_cpu, _ping_cpu, _news_cpu, _sweep)]
     return sum(a for a, _ in parts), sum(b for _, b in parts)
 
 
--- a/archhatch/capacity/roles/leader.py
+++ b/archhatch/capacity/roles/leader.py
@@ -6,7 +6,7 @@
 KEPT = 2  # lots of a trainer in hand: the open one, and the ended one that StatusS keeps
 
 
-def lots(q) -> float:
+def batch_jobs(q) -> float:
     """Lots a second that one store takes as holder."""
     return q.held / (q.s.step_min * 60)
 
@@ -54,7 +54,7 @@
     budget=lambda s: s.machine_mb_s * 1e6,
 )
 def _bytes(q):
-    n = (1 + q.s.tolerate) * (q.rate / q.s.stores * q.sample_bytes + lots(q) * q.at("lot.bytes", q.s.samples))
+    n = (1 + q.s.tolerate) * (q.rate / q.s.stores * q.sample_bytes + batch_jobs(q) * q.at("lot.bytes", q.s.samples))
     return n, n
 
 
@@ -71,7 +71,7 @@
     budget=lambda s: s.machine_core,
 )
 def _cpu(q):
-    n = lots(q) * (
+    n = batch_jobs(q) * (
         q.at("lot.read", q.s.samples)
         + 2 * q.at("rpc.pack", q.at("lot.bytes", q.s.samples))
         + 2 * q.at("rpc.read", q.at("lot.bytes", q.s.samples))
@@ -156,16 +156,18 @@
 def _memory(q):
     head = max(0.0, q.per("result.memory") - 4000)
     per_lot = q.at("lot.memory", q.s.samples)
-    roll = q.per("news.memory") + q.per("picker.memory") + q.per("engines.memory")
+    registry = q.per("news.memory") + q.per("picker.memory") + q.per("engines.memory")
     rest = q.at("resident.store", 0) + q.at("plan.memory", q.s.routes)
     copies = (1 + q.s.tolerate) * q.held * KEPT
     texts = q.at("lot.bytes", q.s.samples) + q.s.samples * (head + q.sample_bytes)
-    landed = rest + q.held * KEPT * per_lot + copies * texts + q.s.replicas * roll + _conns(q)[0] * q.s.connection_bytes
+    landed = (
+        rest + q.held * KEPT * per_lot + copies * texts + q.s.replicas * registry + _conns(q)[0] * q.s.connection_bytes
+    )
     built = (
         rest
         + q.held * per_lot
         + copies * q.s.samples * head
-        + q.held * q.of_service * roll
+        + q.held * q.of_service * registry
         + _conns(q)[1] * q.s.connection_bytes
     )
     return landed, built
--- a/archhatch/capacity/roles/worker.py
+++ b/archhatch/capacity/roles/worker.py
@@ -77,7 +77,7 @@
     budget=lambda s: s.machine_core,
 )
 def _both(q):
-    parts = [fn(q) for fn in (leader._cpu, leader._place, leader._roll)]
+    parts = [function(q) for function in (leader._cpu, leader._place, leader._roll)]
     return _cpu(q)[0] + sum(a for a, _ in parts), sum(b for _, b in parts)
 
 
--- a/archhatch/capacity/size.py
+++ b/archhatch/capacity/size.py
@@ -191,7 +191,7 @@
     size = SimpleNamespace(**doc["given"], **doc["assumed"])
     size.cold = size.cold_edge = 1.0  # what small runs show is put in by the table
     why = {m[1]: m[2] for m in re.finditer(r"^(\w+) = [^#\n]*# (.*)$", text, re.M)}
-    size.rows = [(k, name, val, why.get(name, "")) for k in ("given", "assumed") for name, val in doc[k].items()]
+    size.rows = [(k, name, value, why.get(name, "")) for k in ("given", "assumed") for name, value in doc[k].items()]
     size.edges = size.nodes - size.cores - size.stores
     if size.edges < 1:
         raise SizeError(path, "given.nodes", "leaves no edge beside the control nodes and stores")
--- a/archhatch/capacity/table.py
+++ b/archhatch/capacity/table.py
@@ -16,39 +16,39 @@
 UNITS = {"core": (100, "% of a core"), "s": (1, " s")}
 
 
-def shown(val: float | None, unit: str) -> str:
+def shown(value: float | None, unit: str) -> str:
     """A figure in words that fit a table.
 
     >>> shown(0.021, "core"), shown(15_250_000, "B/s"), shown(None, ""), shown(8333.3, "/s")
     ('2.1% of a core', '15.2 MB/s', '-', '8,333 /s')
     """
-    if val is None or math.isinf(val):
-        return "-" if val is None else "no end"
+    if value is None or math.isinf(value):
+        return "-" if value is None else "no end"
     if unit in ("B", "B/s"):
         for size, name in ((1e9, "GB"), (1e6, "MB"), (1e3, "KB")):
-            if val >= size:
-                return f"{_short(val / size)} {name}{unit[1:]}"
-        return f"{_short(val)} {unit}"
+            if value >= size:
+                return f"{_short(value / size)} {name}{unit[1:]}"
+        return f"{_short(value)} {unit}"
     scale, name = UNITS.get(unit, (1, f" {unit}" if unit else ""))
-    return f"{_short(val * scale)}{name}"
+    return f"{_short(value * scale)}{name}"
 
 
-def _short(val: float) -> str:
-    if val >= 100 or val == int(val):
-        return f"{val:,.0f}"
-    return f"{val:.1f}" if val >= 1 else f"{val:.2g}"
+def _short(value: float) -> str:
+    if value >= 100 or value == int(value):
+        return f"{value:,.0f}"
+    return f"{value:.1f}" if value >= 1 else f"{value:.2g}"
 
 
-def verdict(val: float | None, bound: float | None) -> str:
+def verdict(value: float | None, bound: float | None) -> str:
     """over or under, plainly; near where a run on a busier machine could have said the other.
 
     >>> verdict(4.0, 1.0), verdict(1.0, 1.0), verdict(0.1, 1.0), verdict(1.0, None)
     ('**over**', 'under, near', 'under', '')
     """
-    if val is None or bound is None:
+    if value is None or bound is None:
         return ""
-    word = "**over**" if val > bound else "under"
-    return f"{word}, near" if bound / SPREAD < val < bound * SPREAD else word
+    word = "**over**" if value > bound else "under"
+    return f"{word}, near" if bound / SPREAD < value < bound * SPREAD else word
 
 
 class Table:
@@ -153,7 +153,7 @@
 
     def _assumed(self) -> list:
         out = ["### The size and the assumptions", "", "| | name | figure | |", "|---|---|---|---|"]
-        return out + [f"| {kind} | `{name}` | {val:,g} | {why} |" for kind, name, val, why in self.size.rows] + [""]
+        return out + [f"| {kind} | `{name}` | {value:,g} | {why} |" for kind, name, value, why in self.size.rows] + [""]
 
     def _slopes(self, used) -> list:
         s = self.slopes
@@ -179,8 +179,8 @@
         return out + [""]
 
 
-def _num(val: float) -> str:
-    return f"{val:,.0f}" if abs(val) >= 100 else f"{val:.3g}"
+def _num(value: float) -> str:
+    return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
 def block(page: str) -> str | None:
--- a/archhatch/cli/commands.py
+++ b/archhatch/cli/commands.py
@@ -69,9 +69,9 @@
     ... # def _doctor(args): return 0
     """
 
-    def put(fn):
-        COMMANDS[name] = fn
-        return fn
+    def put(function):
+        COMMANDS[name] = function
+        return function
 
     return put
 
@@ -94,7 +94,7 @@
         return 0.0
 
 
-async def _live(node, boot, log) -> None:
+async def _live(node, settings, log) -> None:
     loop = asyncio.get_running_loop()
     stop, hup = asyncio.Event(), asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
@@ -106,7 +106,7 @@
     wait = asyncio.ensure_future(stop.wait())
     while not stop.is_set():
         await asyncio.wait([wait], timeout=FLAGS.counters_s or None)
-        log.info("counters {} memory_mb={:.0f}", node.ctr.line(), memory_mb())
+        log.info("counters {} memory_mb={:.0f}", node.counters.line(), memory_mb())
         if hup.is_set():
             hup.clear()
             try:
@@ -117,9 +117,9 @@
     await node.leave()
 
 
-def _early(boot, name: str):
+def _early(settings, name: str):
     """A socket that listens before the rest of the program is loaded: who calls meanwhile waits, and is not refused."""
-    host, port = boot.listen[name].rsplit(":", 1)
+    host, port = settings.listen[name].rsplit(":", 1)
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((host, int(port)))
@@ -136,10 +136,10 @@
         return None
 
 
-def _run(boot, make) -> int:
-    log = open_logs(boot.node, FLAGS.log)
+def _run(settings, make) -> int:
+    log = open_logs(settings.node, FLAGS.log)
     try:
-        asyncio.run(_live(make(boot, log), boot, log))
+        asyncio.run(_live(make(settings, log), settings, log))
     except OSError as e:
         print(f"archhatch: {e}", file=sys.stderr)
         return 1
@@ -148,43 +148,43 @@
 
 @command("data-plane")
 def _data_plane(args) -> int:
-    boot = _boot()
-    if boot is None:
+    settings = _boot()
+    if settings is None:
         return 2
-    if "FrontHttp" not in boot.listen or "Readiness" not in boot.listen:
+    if "FrontHttp" not in settings.listen or "Readiness" not in settings.listen:
         print("archhatch: settings: Bindings: needs FrontHttp and Readiness", file=sys.stderr)
         return 2
     try:
-        sock = _early(boot, "FrontHttp")
+        sock = _early(settings, "FrontHttp")
     except OSError as e:
         print(f"archhatch: settings: Bindings.FrontHttp: {e}", file=sys.stderr)
         return 1
     from ..data_plane.edge import Edge
 
-    return _run(boot, lambda b, log: Edge(b, log, sock=sock))
+    return _run(settings, lambda b, log: Edge(b, log, sock=sock))
 
 
 @command("control-plane")
 def _control_plane(args) -> int:
-    boot = _boot()
-    if boot is None:
+    settings = _boot()
+    if settings is None:
         return 2
-    if "ControlPlane" not in boot.listen:
+    if "ControlPlane" not in settings.listen:
         print("archhatch: settings: Bindings: needs ControlPlane", file=sys.stderr)
         return 2
     from ..control.node import ControlNode
 
-    return _run(boot, ControlNode)
+    return _run(settings, ControlNode)
 
 
 @command("store")
 def _store(args) -> int:
-    boot = _boot()
-    if boot is None:
+    settings = _boot()
+    if settings is None:
         return 2
     from ..store.node import StoreNode
 
-    return _run(boot, StoreNode)
+    return _run(settings, StoreNode)
 
 
 @command("doctor")
@@ -263,8 +263,8 @@
     except flags.Error as e:
         print(f"archhatch: {e}", file=sys.stderr)
         sys.exit(2)
-    fn = COMMANDS.get(rest[1] if len(rest) > 1 else "")
-    if fn is None:
+    function = COMMANDS.get(rest[1] if len(rest) > 1 else "")
+    if function is None:
         print(f"archhatch: no such command: {' '.join(rest[1:2])}\n\n{usage()}", file=sys.stderr)
         sys.exit(2)
-    sys.exit(fn(rest[2:]))
+    sys.exit(function(rest[2:]))
--- a/archhatch/consensus/acceptor.py
+++ b/archhatch/consensus/acceptor.py
@@ -20,68 +20,68 @@
     >>> # acceptor = Acceptor("plan", log, counters); await acceptor.prepare(ProposalNumber(1, "a", "life"))
     """
 
-    def __init__(self, part: str, book, counters):
-        self.part, self.book, self.ctr = part, book, counters
+    def __init__(self, shard: str, wal, counters):
+        self.shard, self.wal, self.counters = shard, wal, counters
         self.promised: ProposalNumber = ZERO
-        self.ballot: ProposalNumber = ZERO
+        self.proposal_number: ProposalNumber = ZERO
         self.state: dict | None = None
         self.lock = asyncio.Lock()  # held from the decision on a request until its record is synced
 
-    def adopt(self, rec: dict) -> None:
+    def adopt(self, record: dict) -> None:
         """Take up a record read from the log; later records stand behind earlier ones."""
-        self.promised = max(self.promised, ProposalNumber.read(rec["b"]))
-        if rec.get("s") is not None:
-            self.ballot, self.state = ProposalNumber.read(rec["ab"]), rec["s"]
+        self.promised = max(self.promised, ProposalNumber.read(record["b"]))
+        if record.get("s") is not None:
+            self.proposal_number, self.state = ProposalNumber.read(record["ab"]), record["s"]
 
     def record(self) -> bytes:
         """All that this acceptor must not forget, as one record."""
-        return _record(self.part, self.promised, self.ballot, self.state)
+        return _record(self.shard, self.promised, self.proposal_number, self.state)
 
     @property
     def version(self) -> int:
         """The version of the accepted state; 0 without one."""
         return self.state["stamp"] if self.state is not None else 0
 
-    async def prepare(self, ballot) -> dict:
+    async def prepare(self, proposal_number) -> dict:
         """Promise to take nothing under a lower ballot; tells what was accepted."""
-        ballot = ProposalNumber.read(ballot)
+        proposal_number = ProposalNumber.read(proposal_number)
         async with self.lock:
-            if ballot < self.promised:
-                self.ctr.add("part.prepare_refused")
+            if proposal_number < self.promised:
+                self.counters.add("part.prepare_refused")
                 return {"ok": False, "promised": self.promised.wire()}
-            if ballot > self.promised:
-                await self.book.append(orjson.dumps({"p": self.part, "b": ballot.wire()}))
-                self.promised = ballot
-            return {"ok": True, "ballot": self.ballot.wire(), "state": self.state}
+            if proposal_number > self.promised:
+                await self.wal.append(orjson.dumps({"p": self.shard, "b": proposal_number.wire()}))
+                self.promised = proposal_number
+            return {"ok": True, "ballot": self.proposal_number.wire(), "state": self.state}
 
-    async def accept(self, ballot, state: dict) -> dict:
+    async def accept(self, proposal_number, state: dict) -> dict:
         """Take a state unless a higher ballot was promised, or a later state of this ballot was taken."""
-        ballot = ProposalNumber.read(ballot)
+        proposal_number = ProposalNumber.read(proposal_number)
         async with self.lock:
-            if ballot < self.promised:
-                self.ctr.add("part.accept_refused")
+            if proposal_number < self.promised:
+                self.counters.add("part.accept_refused")
                 return {"ok": False, "promised": self.promised.wire()}
-            if self.state is not None and ballot == self.ballot:
+            if self.state is not None and proposal_number == self.proposal_number:
                 if state["stamp"] < self.state["stamp"]:
-                    self.ctr.add("part.accept_stale")
+                    self.counters.add("part.accept_stale")
                     return {"ok": False, "promised": self.promised.wire()}
                 if state["stamp"] == self.state["stamp"]:
                     return {"ok": True}  # a repeated message: one ballot never gives a version to two states
-            await self.book.append(_record(self.part, ballot, ballot, state))
-            self.promised = self.ballot = ballot
+            await self.wal.append(_record(self.shard, proposal_number, proposal_number, state))
+            self.promised = self.proposal_number = proposal_number
             self.state = state
             return {"ok": True}
 
-    async def confirm(self, ballot) -> dict:
+    async def confirm(self, proposal_number) -> dict:
         """Whether nothing higher than this ballot was promised here.
 
         A promise that is on its way to the disk has not been told to anyone, so it need not be waited for.
         """
-        ok = ProposalNumber.read(ballot) == self.promised
+        ok = ProposalNumber.read(proposal_number) == self.promised
         if not ok:
-            self.ctr.add("part.confirm_refused")
+            self.counters.add("part.confirm_refused")
         return {"ok": ok, "promised": self.promised.wire()}
 
 
-def _record(part: str, promised: ProposalNumber, ballot: ProposalNumber, state: dict | None) -> bytes:
-    return orjson.dumps({"p": part, "b": promised.wire(), "ab": ballot.wire(), "s": state})
+def _record(shard: str, promised: ProposalNumber, proposal_number: ProposalNumber, state: dict | None) -> bytes:
+    return orjson.dumps({"p": shard, "b": promised.wire(), "ab": proposal_number.wire(), "s": state})
--- a/archhatch/consensus/commands.py
+++ b/archhatch/consensus/commands.py
@@ -13,7 +13,7 @@
 
     >>> c = Commands()
     >>> @c.on("inc")
-    ... def inc(val, args): val["n"] = val.get("n", 0) + 1; return 1000, val["n"], True
+    ... def inc(value, args): value["n"] = value.get("n", 0) + 1; return 1000, value["n"], True
     >>> v = {}; c.run(v, "inc", {}), v
     ((1000, 1, True), {'n': 1})
     """
@@ -24,20 +24,20 @@
     def on(self, name: str):
         """Register a command: a function of the value and the arguments that gives (code, document, changed)."""
 
-        def put(fn):
-            self.table[name] = fn
-            return fn
+        def put(function):
+            self.table[name] = function
+            return function
 
         return put
 
-    def run(self, val: dict, name: str, args: dict):
+    def run(self, value: dict, name: str, args: dict):
         """Run one command on the value in place: (code, document, changed)."""
-        fn = self.table.get(name)
-        if fn is None:
+        function = self.table.get(name)
+        if function is None:
             return UNKNOWN, None, False
-        return fn(val, args)
+        return function(value, args)
 
-    def run_apart(self, val: dict, name: str, args: dict):
+    def run_apart(self, value: dict, name: str, args: dict):
         """Run one command of a batch: (code, document, changed, value after it).
 
         A command that fails on what it was given is refused alone. It works on a copy, so that no trace of it is left
@@ -45,13 +45,13 @@
 
         >>> c = Commands()
         >>> @c.on("bad")
-        ... def bad(val, args): val["x"] = 1; raise KeyError("y")
+        ... def bad(value, args): value["x"] = 1; raise KeyError("y")
         >>> c.run_apart({}, "bad", {})
         (2001, "KeyError('y')", False, {})
         """
-        trial = orjson.loads(orjson.dumps(val))
+        trial = orjson.loads(orjson.dumps(value))
         try:
             code, doc, changed = self.run(trial, name, args)
         except (KeyError, TypeError, ValueError, AttributeError, IndexError) as e:
-            return MALFORMED, repr(e), False, val
-        return code, doc, changed, trial if changed else val
+            return MALFORMED, repr(e), False, value
+        return code, doc, changed, trial if changed else value
--- a/archhatch/consensus/proposal_number.py
+++ b/archhatch/consensus/proposal_number.py
@@ -23,12 +23,12 @@
 
     round: int
     node: str
-    life: str = ""
+    incarnation: str = ""
 
     @classmethod
-    def read(cls, parts) -> ProposalNumber:
+    def read(cls, shards) -> ProposalNumber:
         """A ballot as it stands in a message or a record; records of earlier releases name no life."""
-        return cls(*parts)
+        return cls(*shards)
 
     def wire(self) -> list:
         """For a message or a record."""
--- a/archhatch/consensus/proposer.py
+++ b/archhatch/consensus/proposer.py
@@ -43,7 +43,7 @@
 
     answers: dict = field(default_factory=dict)
     state: dict | None = None
-    ballot: ProposalNumber = ZERO
+    proposal_number: ProposalNumber = ZERO
 
     def add(self, got: dict) -> None:
         """Fold in answers; the state under the highest ballot counts, of one ballot the latest."""
@@ -53,8 +53,8 @@
             if state is None:
                 continue
             rank = (ProposalNumber.read(answer["ballot"]), state["stamp"])
-            if self.state is None or rank > (self.ballot, self.state["stamp"]):
-                self.state, self.ballot = state, rank[0]
+            if self.state is None or rank > (self.proposal_number, self.state["stamp"]):
+                self.state, self.proposal_number = state, rank[0]
 
 
 class Proposer:
@@ -66,12 +66,12 @@
     >>> # code, doc = await proposer.do("plan.get", {}); raises UnclearResultError
     """
 
-    def __init__(self, part, me, commands, ask, base, publish, counters, secs=1.0, least=None, life=None):
-        self.part, self.me, self.commands = part, me, commands
-        self._ask, self._base, self._publish, self.ctr = ask, base, publish, counters
+    def __init__(self, shard, me, commands, ask, base, publish, counters, timeout_s=1.0, least=None, incarnation=None):
+        self.shard, self.me, self.commands = shard, me, commands
+        self._ask, self._base, self._publish, self.counters = ask, base, publish, counters
         self._least = least or (lambda: 0)
-        self.secs = secs
-        self.life = life or new_incarnation()
+        self.seconds = timeout_s
+        self.incarnation = incarnation or new_incarnation()
         self.lead: ProposalNumber | None = None
         self.state: dict | None = None
         self.settled = False
@@ -102,17 +102,17 @@
         async with self._busy:
             if not await self._hold():
                 return False
-            if self.state["prev"] and not await self._accept(self._next(prev=None)):
+            if self.state["prev"] and not await self._accept(self._next({"prev": None})):
                 return False
             if not voters or voters == self.state["voters"]:
                 return self.settled or await self._accept(self.state)
             joiners = {k: v for k, v in voters.items() if k not in self.state["voters"]}
             if not await self._teach(joiners):
                 return False
-            step = self._next(voters=voters, prev=self.state["voters"])
-            return await self._accept(step, joiners) and await self._accept(self._next(prev=None), joiners)
+            step = self._next({"voters": voters, "prev": self.state["voters"]})
+            return await self._accept(step, joiners) and await self._accept(self._next({"prev": None}), joiners)
 
-    def _next(self, **changes) -> dict:
+    def _next(self, changes: dict) -> dict:
         return {**self.state, **changes, "stamp": self.state["stamp"] + 1}
 
     async def _teach(self, learners: dict) -> bool:
@@ -124,7 +124,7 @@
             return True
         if any(not a["ok"] for a in got.values()):
             self.lead, self.settled = None, False  # it promised a higher ballot: the next try goes above it
-        self.ctr.add("part.learner_silent")
+        self.counters.add("part.learner_silent")
         return False
 
     async def _run(self) -> None:
@@ -134,15 +134,15 @@
                 try:
                     await self._serve(jobs)
                 except Exception as e:
-                    self.ctr.add("part.fault")
+                    self.counters.add("part.fault")
                     for job in jobs:
-                        job.fail(UnclearResultError(f"{self.part}: {e!r}"))
+                        job.fail(UnclearResultError(f"{self.shard}: {e!r}"))
 
     async def _hold(self) -> bool:
         for _ in range(TRIES):
             if self.lead is not None or await self._prepare():
                 return True
-            await asyncio.sleep(self.secs * random.uniform(*PAUSE))
+            await asyncio.sleep(self.seconds * random.uniform(*PAUSE))
         return False
 
     async def _serve(self, jobs: list) -> None:
@@ -152,9 +152,9 @@
                 break
             now = loop.time()
             live = [job for job in jobs if job.wanted(now)]
-            val, results, changed = self._apply(live)
+            value, results, changed = self._apply(live)
             if changed:
-                ok = await self._accept(self._next(val=val))
+                ok = await self._accept(self._next({"val": value}))
             elif not self.settled:
                 ok = await self._accept(self.state)
             else:
@@ -164,28 +164,28 @@
                     if not job.done.done():
                         job.done.set_result(result)
         for job in jobs:
-            job.fail(UnclearResultError(self.part))
+            job.fail(UnclearResultError(self.shard))
 
     def _apply(self, jobs: list) -> tuple:
         """Run commands one behind the other: the value after them, the result of each, whether any changed it."""
-        val, results, changed = self.state["val"], [], False
+        value, results, changed = self.state["val"], [], False
         for job in jobs:
             args = {**job.args, "at_version": self.state["stamp"]}
-            code, doc, did, val = self.commands.run_apart(val, job.name, args)
+            code, doc, did, value = self.commands.run_apart(value, job.name, args)
             results.append((code, doc))
             changed = changed or did
-        return val, results, changed
+        return value, results, changed
 
     async def _poll(self, targets: dict, verb: str, doc: dict, enough) -> dict:
         """Ask all targets at once; the answers by id, as soon as there are enough or one refuses."""
         loop = asyncio.get_running_loop()
         tasks = {
-            asyncio.ensure_future(self._ask(addr, verb, {"part": self.part, **doc})): vid
-            for vid, addr in targets.items()
+            asyncio.ensure_future(self._ask(address, verb, {"part": self.shard, **doc})): vid
+            for vid, address in targets.items()
         }
         got: dict = {}
         wait = set(tasks)
-        end = loop.time() + self.secs
+        end = loop.time() + self.seconds
         while wait and not enough(got) and loop.time() < end:
             done, wait = await asyncio.wait(wait, timeout=end - loop.time(), return_when=asyncio.FIRST_COMPLETED)
             for task in done:
@@ -200,13 +200,13 @@
     def _note(self, vid: str, task: asyncio.Task, got: dict) -> None:
         """Fold one answer, if the very node that was meant gave it; a call that failed is no answer."""
         if task.exception() is not None:
-            self.ctr.add("part.ask_failed")
+            self.counters.add("part.ask_failed")
             return
         answer = task.result()
         if answer is None:
             return
         if answer.get("me") != vid:
-            self.ctr.add("part.other_life")
+            self.counters.add("part.other_life")
             return
         got[vid] = answer
         if not answer.get("ok"):
@@ -215,43 +215,46 @@
     def _forget_late(self, task: asyncio.Task) -> None:
         self._late.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.ctr.add("part.ask_failed")
+            self.counters.add("part.ask_failed")
 
     async def _prepare(self) -> bool:
         base = self._base()
         if base is None:
             return False
         self.top += 1
-        ballot = ProposalNumber(self.top, self.me, self.life)
+        proposal_number = ProposalNumber(self.top, self.me, self.incarnation)
         heard, group = _Heard(), base
         for _ in range(GROUP_STEPS):
             targets = {k: v for k, v in members(group).items() if k not in heard.answers}
             got = await self._poll(
-                targets, "part.prepare", {"ballot": ballot.wire()}, lambda g: covers(set(g) | set(heard.answers), group)
+                targets,
+                "part.prepare",
+                {"ballot": proposal_number.wire()},
+                lambda g: covers(set(g) | set(heard.answers), group),
             )
             if any(not a["ok"] for a in got.values()):
-                self.ctr.add("part.lost_race")
+                self.counters.add("part.lost_race")
                 return False
             heard.add(got)
             if not covers(set(heard.answers), group):
                 return False
             state = heard.state or base
             if covers(set(heard.answers), state):
-                return self._take_lead(ballot, state)
+                return self._take_lead(proposal_number, state)
             group = state
         return False
 
-    def _take_lead(self, ballot: ProposalNumber, state: dict) -> bool:
+    def _take_lead(self, proposal_number: ProposalNumber, state: dict) -> bool:
         if state["stamp"] < self._least():
-            self.ctr.add("part.older_than_chosen")  # these voters were left behind by a change of the group
+            self.counters.add("part.older_than_chosen")  # these voters were left behind by a change of the group
             return False
-        self.lead, self.state, self.settled = ballot, state, False
-        self.ctr.add("part.lead")
+        self.lead, self.state, self.settled = proposal_number, state, False
+        self.counters.add("part.lead")
         return True
 
     async def _accept(self, state: dict, must=()) -> bool:
         """Have a state accepted by both groups that count, and by each of `must`."""
-        before, ballot = self.state, self.lead
+        before, proposal_number = self.state, self.lead
 
         def chosen(ids) -> bool:
             return covers(ids, state) and covers(ids, before) and ids >= set(must)
@@ -259,15 +262,15 @@
         got = await self._poll(
             members(state) | members(before),
             "part.accept",
-            {"ballot": ballot.wire(), "state": state},
+            {"ballot": proposal_number.wire(), "state": state},
             lambda g: chosen(set(g)),
         )
         if chosen({k for k, a in got.items() if a["ok"]}):
             self.state, self.settled = state, True
-            self._publish(self.part, state)
+            self._publish(self.shard, state)
             return True
         self.lead, self.settled = None, False
-        self.ctr.add("part.accept_failed")
+        self.counters.add("part.accept_failed")
         return False
 
     async def _confirm(self) -> bool:
--- a/archhatch/consensus/reconfiguration.py
+++ b/archhatch/consensus/reconfiguration.py
@@ -70,9 +70,9 @@
 
 def _wiped(sight: Sight, alive_s: float) -> tuple | None:
     """A voter at whose address another node lives: its disk was lost, and it will not come back."""
-    for voter, addr in sight.voters.items():
+    for voter, address in sight.voters.items():
         for spare, spare_addr in sight.spares.items():
-            if spare_addr == addr and sight.silent[voter] >= alive_s:
+            if spare_addr == address and sight.silent[voter] >= alive_s:
                 return voter, spare
     return None
 
@@ -80,7 +80,7 @@
 def _free_spares(sight: Sight) -> dict:
     """Spares that stand at no voter's address: an address is never two voters'."""
     taken = set(sight.voters.values())
-    return {s: addr for s, addr in sight.spares.items() if addr not in taken}
+    return {s: address for s, address in sight.spares.items() if address not in taken}
 
 
 def _first(sight: Sight, chosen) -> str | None:
--- a/archhatch/control/admin_api.py
+++ b/archhatch/control/admin_api.py
@@ -52,17 +52,17 @@
             OnDuty: self._on_duty,
         }
 
-    async def answer(self, req, body: bytes):
+    async def answer(self, request, body: bytes):
         """The result of a call; 503 at once while this node may not serve, so that the caller goes on to another."""
         node = self.node
         try:
-            command = decode(req.method, req.raw_path, req.headers, body)
+            command = decode(request.method, request.raw_path, request.headers, body)
         except InvalidRequestError as e:
-            node.ctr.add(f"call.bad.{e.code}")
+            node.counters.add(f"call.bad.{e.code}")
             return error_result(e.code, e.why)
-        node.ctr.add("call." + type(command).__name__)
+        node.counters.add("call." + type(command).__name__)
         if not node.serving():
-            node.ctr.add("call.not_serving")
+            node.counters.add("call.not_serving")
             return error_result(UNREACHED, after_s=node.quiet_s)
         try:
             return await self.calls[type(command)](command)
@@ -74,10 +74,10 @@
     async def beat(self, command: HeartbeatRequest):
         """A heartbeat; `draining` is acknowledged once a majority has heard of it."""
         node, entry = self.node, command.entry
-        turn = node.roll.turn
-        node.roll.beat(entry, node.clock.now())
-        if node.roll.turn != turn:
-            node.board.touch("news")
+        turn = node.registry.turn
+        node.registry.beat(entry, node.clock.now())
+        if node.registry.turn != turn:
+            node.state_board.touch("news")
         if entry["state"] == "draining":
             await self._spread(entry)
         return json_result(1000, {})
@@ -95,10 +95,10 @@
             "rev": "",
             "seq": 0,
         }
-        old = node.roll.all.get(command.iid) or nameless
+        old = node.registry.all.get(command.iid) or nameless
         entry = {**old, "state": "gone", "seq": old["seq"] + 1}
-        node.roll.beat(entry, node.clock.now())
-        node.board.touch("news")
+        node.registry.beat(entry, node.clock.now())
+        node.state_board.touch("news")
         await self._spread(entry)
         return json_result(1000, {})
 
@@ -120,8 +120,8 @@
 
     # -- operators and trainers
 
-    async def _run(self, part: str, name: str, args: dict):
-        code, doc = await self.node.registers.run(part, name, args)
+    async def _run(self, shard: str, name: str, args: dict):
+        code, doc = await self.node.registers.run(shard, name, args)
         if code == 1000:
             return json_result(1000, doc)
         return error_result(code, str(doc), after_s=self.node.quiet_s if code >= UNCLEAR else None)
@@ -143,8 +143,8 @@
         return model
 
     async def _put_version(self, command: PutVersion):
-        part = shard_of(self._service_of(command.model), OTHERS)
-        return await self._run(part, "named.put", {"model": command.model, "rev": command.rev})
+        shard = shard_of(self._service_of(command.model), OTHERS)
+        return await self._run(shard, "named.put", {"model": command.model, "rev": command.rev})
 
     async def _retire(self, command: Retire):
         name = "retire.get" if command.ask else "retire.start"
@@ -152,7 +152,7 @@
         return await self._run(PLAN, name, args)
 
     async def _on_policy(self, command: OnPolicy):
-        zones = {"zones": self.node.boot.zones} if command.name == "policy.put" else {}
+        zones = {"zones": self.node.settings.zones} if command.name == "policy.put" else {}
         return await self._run(PLAN, command.name, {**command.args, **zones})
 
     async def _on_duty(self, command: OnDuty):
--- a/archhatch/control/agreement.py
+++ b/archhatch/control/agreement.py
@@ -26,44 +26,44 @@
 
     def __init__(self, node):
         self.node = node
-        boot = node.boot
+        settings = node.settings
         self.known: dict[str, dict] = {}  # register -> the newest state that is known to be chosen
         self.chosen: dict[str, int] = {}  # register -> the highest version that anyone told to be chosen
-        self.acceptors = {part: Acceptor(part, None, node.ctr) for part in PARTS}
+        self.acceptors = {shard: Acceptor(shard, None, node.counters) for shard in PARTS}
         self.proposers: dict[str, Proposer] = {}
         self.founders: dict | None = None
-        self.size = GroupSize.for_losses(boot.tolerate)
-        self.patience = Patience(boot.secs("ContactMs", 0.5), boot.secs("ContactMs", 2))
+        self.size = GroupSize.for_losses(settings.tolerate)
+        self.patience = Patience(settings.seconds("ContactMs", 0.5), settings.seconds("ContactMs", 2))
         self._rewritten = 0
         self._open_since: dict[str, float] = {}  # register -> since when a newer version than the one held is known of
 
     # -- life
 
-    def load(self, book, recs) -> None:
+    def load(self, wal, records) -> None:
         """Take up what the log holds; the identity of the node, if it has one already, comes back."""
         for acceptor in self.acceptors.values():
-            acceptor.book = book
-        for raw in recs:
-            rec = orjson.loads(raw)
-            if "id" in rec:
-                self.node.id, self.founders = rec["id"], rec["founders"]
+            acceptor.wal = wal
+        for raw in records:
+            record = orjson.loads(raw)
+            if "id" in record:
+                self.node.id, self.founders = record["id"], record["founders"]
             else:
-                self.acceptors[rec["p"]].adopt(rec)
+                self.acceptors[record["p"]].adopt(record)
 
     def start(self) -> None:
         """Make the proposers; needs the node's identity."""
         node = self.node
-        for part in PARTS:
-            self.proposers[part] = Proposer(
-                part,
+        for shard in PARTS:
+            self.proposers[shard] = Proposer(
+                shard,
                 node.id,
                 commands,
                 node.ask,
-                lambda part=part: self.base(part),
+                lambda shard=shard: self.base(shard),
                 self.publish,
-                node.ctr,
-                secs=node.boot.secs("ContactMs", 0.25),
-                least=lambda part=part: self.version(part),
+                node.counters,
+                timeout_s=node.settings.seconds("ContactMs", 0.25),
+                least=lambda shard=shard: self.version(shard),
             )
 
     def identity(self) -> bytes:
@@ -76,155 +76,159 @@
 
     async def rewrite_if_long(self) -> None:
         """Replace the log by a snapshot once it has grown long."""
-        book = self.node.book
-        if book.size <= REWRITE_BYTES or book.size <= self._rewritten * REWRITE_GROWTH:
+        wal = self.node.wal
+        if wal.size <= REWRITE_BYTES or wal.size <= self._rewritten * REWRITE_GROWTH:
             return
         try:
-            await book.rewrite()
+            await wal.rewrite()
         except LogError:
-            self.node.ctr.add("log.rewrite_failed")  # the log before it still holds everything
+            self.node.counters.add("log.rewrite_failed")  # the log before it still holds everything
             return
-        self._rewritten = book.size
+        self._rewritten = wal.size
 
     # -- what is known
 
-    def base(self, part: str) -> dict | None:
+    def base(self, shard: str) -> dict | None:
         """The newest state seen, chosen or not: it names whom to ask."""
-        best, mine = self.known.get(part), self.acceptors[part].state
+        best, mine = self.known.get(shard), self.acceptors[shard].state
         if mine is not None and (best is None or mine["stamp"] > best["stamp"]):
             best = mine
         if best is None and self.founders:
             best = {"stamp": 0, "val": {}, "voters": self.founders, "prev": None}
         return best
 
-    def group(self, part: str) -> dict | None:
+    def group(self, shard: str) -> dict | None:
         """The state whose voters count here: the newest that is known to be chosen, else the newest seen.
 
         A state that some have accepted may never be chosen; whoever ranked the owners by it would disagree with those
         that have not seen it, and each could take another one for the owner.
         """
-        return self.known.get(part) or self.base(part)
+        return self.known.get(shard) or self.base(shard)
 
-    def version(self, part: str) -> int:
+    def version(self, shard: str) -> int:
         """The version that this node knows to be chosen; NOTHING if it knows none."""
-        return self.known[part]["stamp"] if part in self.known else NOTHING
+        return self.known[shard]["stamp"] if shard in self.known else NOTHING
 
     def versions(self) -> dict:
         """The same of all registers."""
-        return {part: state["stamp"] for part, state in self.known.items()}
+        return {shard: state["stamp"] for shard, state in self.known.items()}
 
     def accepted(self) -> dict:
         """The versions that this node has accepted, synced: what it tells at a ping."""
-        return {part: a.version for part, a in self.acceptors.items() if a.version}
+        return {shard: a.version for shard, a in self.acceptors.items() if a.version}
 
     def told_chosen(self, versions: dict) -> list:
         """Another node knows these versions to be chosen; the registers of which it has a newer one."""
-        for part, version in versions.items():
-            self.chosen[part] = max(version, self.chosen.get(part, NOTHING))
-        return [part for part, version in versions.items() if version > self.version(part)]
+        for shard, version in versions.items():
+            self.chosen[shard] = max(version, self.chosen.get(shard, NOTHING))
+        return [shard for shard, version in versions.items() if version > self.version(shard)]
 
     def behind(self) -> set:
         """Registers of which this node knows a newer version than it holds: chosen, or accepted by a voter."""
         node, now, out = self.node, self.node.clock.now(), set()
-        for part in PARTS:
-            group = self.group(part)
+        for shard in PARTS:
+            group = self.group(shard)
             voters = members(group) if group else {}
-            newest = max(self.chosen.get(part, NOTHING), node.contact.newest(part, voters, now))
-            if newest > self.version(part):
-                out.add(part)
+            newest = max(self.chosen.get(shard, NOTHING), node.contact.newest(shard, voters, now))
+            if newest > self.version(shard):
+                out.add(shard)
         return out
 
-    def publish(self, part: str, state: dict) -> None:
+    def publish(self, shard: str, state: dict) -> None:
         """A state was chosen here: keep it, and tell the others."""
-        if self.learn(part, state):
-            self.node.peers.spread_commit(part, state["stamp"], self.proposers[part].lead)
+        if self.learn(shard, state):
+            self.node.peers.spread_commit(shard, state["stamp"], self.proposers[shard].lead)
 
-    def learn(self, part: str, state: dict) -> bool:
+    def learn(self, shard: str, state: dict) -> bool:
         """A state is known to be chosen; True if it is news."""
-        if state["stamp"] <= self.version(part):
+        if state["stamp"] <= self.version(shard):
             return False
-        self.known[part] = state
-        self.chosen[part] = max(state["stamp"], self.chosen.get(part, NOTHING))
-        if part == PLAN:
-            self.node.board.touch("plan")
-        self.node.board.touch("news")
+        self.known[shard] = state
+        self.chosen[shard] = max(state["stamp"], self.chosen.get(shard, NOTHING))
+        if shard == PLAN:
+            self.node.state_board.touch("plan")
+        self.node.state_board.touch("news")
         return True
 
-    def learn_accepted(self, part: str, version: int, ballot) -> bool:
+    def learn_accepted(self, shard: str, version: int, proposal_number) -> bool:
         """A state that this node has accepted under a ballot was chosen; False if it has another one."""
-        acceptor = self.acceptors[part]
-        if version <= self.version(part):
+        acceptor = self.acceptors[shard]
+        if version <= self.version(shard):
             return True
-        if acceptor.state is None or acceptor.version != version or list(acceptor.ballot) != list(ballot):
+        if (
+            acceptor.state is None
+            or acceptor.version != version
+            or list(acceptor.proposal_number) != list(proposal_number)
+        ):
             return False
-        self.learn(part, acceptor.state)
+        self.learn(shard, acceptor.state)
         return True
 
     # -- commands
 
-    def owners(self, part: str) -> list:
+    def owners(self, shard: str) -> list:
         """The voters that are up, the one that should run the register's commands first."""
-        group = self.group(part)
+        group = self.group(shard)
         if group is None:
             return []
-        return rank(part, [v for v in group["voters"] if self.node.available(v)])
+        return rank(shard, [v for v in group["voters"] if self.node.available(v)])
 
-    def owns(self, part: str) -> bool:
+    def owns(self, shard: str) -> bool:
         """Whether this node is the one to run a register's commands, as far as it knows."""
-        return self.owners(part)[:1] == [self.node.id]
+        return self.owners(shard)[:1] == [self.node.id]
 
-    async def run_here(self, part: str, name: str, args: dict, within: float):
+    async def run_here(self, shard: str, name: str, args: dict, within: float):
         """Run a command with this node's own proposer: (code, document). Refusal 3003 if that stays unclear."""
         try:
-            return await self.proposers[part].do(name, args, within)
+            return await self.proposers[shard].do(name, args, within)
         except UnclearResultError:
             raise Refusal(UNREACHED) from None
 
-    async def run(self, part: str, name: str, args: dict):
+    async def run(self, shard: str, name: str, args: dict):
         """Run a command where the register's owner is: (code, document). Refusal 3003 if the outcome is unclear."""
         node = self.node
-        within = node.boot.secs("ContactMs", 0.4)
-        for owner in self.owners(part)[:2] or [node.id]:
+        within = node.settings.seconds("ContactMs", 0.4)
+        for owner in self.owners(shard)[:2] or [node.id]:
             if owner == node.id:
-                return await self.run_here(part, name, args, within)
-            addr = self.group(part)["voters"][owner]
-            doc = {"part": part, "name": name, "args": args, "within": within}
+                return await self.run_here(shard, name, args, within)
+            address = self.group(shard)["voters"][owner]
+            doc = {"part": shard, "name": name, "args": args, "within": within}
             try:
-                code, out, _ = await node.lines.to(addr).call("part.do", doc, secs=within, to=owner)
+                code, out, _ = await node.connections.to(address).call("part.do", doc, timeout_s=within, to=owner)
             except CallError:
-                node.ctr.add("part.owner_silent")
+                node.counters.add("part.owner_silent")
                 continue
             if code == 1000:
                 return out["code"], out["doc"]
-            node.ctr.add(f"part.owner_refused.{code}")  # another node stands there, or it reaches no majority
+            node.counters.add(f"part.owner_refused.{code}")  # another node stands there, or it reaches no majority
         raise Refusal(UNREACHED)
 
     # -- groups
 
-    def overdue(self, part: str) -> bool:
+    def overdue(self, shard: str) -> bool:
         """Whether nobody has settled a register for so long that this node is to, whoever owns it.
 
         Nodes may disagree on the owner, or each may be waiting for one that stands still; the next in the row comes
         after another while.
         """
         now = self.node.clock.now()
-        if part not in self.behind():
-            self._open_since.pop(part, None)
+        if shard not in self.behind():
+            self._open_since.pop(shard, None)
             return False
-        since = self._open_since.setdefault(part, now)
-        row = self.owners(part)
+        since = self._open_since.setdefault(shard, now)
+        row = self.owners(shard)
         place = row.index(self.node.id) if self.node.id in row else len(row)
         return now - since > self.node.quiet_s * (OVERDUE + place)
 
-    async def tend(self, part: str, settled: bool) -> None:
+    async def tend(self, shard: str, settled: bool) -> None:
         """Finish what others began, settle what is not known to be chosen, and keep the group right."""
-        proposer, base = self.proposers[part], self.base(part)
+        proposer, base = self.proposers[shard], self.base(shard)
         # a group is changed from the one that counts: what is open is settled first
-        want = self._wanted(self.group(part)) if settled and part not in self.behind() else None
+        want = self._wanted(self.group(shard)) if settled and shard not in self.behind() else None
         open_end = proposer.lead is not None and not proposer.settled
-        if part not in self.known or part in self.behind() or base["prev"] or open_end or want:
+        if shard not in self.known or shard in self.behind() or base["prev"] or open_end or want:
             if want:
-                self.node.log.info("part {}: the group becomes {}", part, sorted(want))
+                self.node.log.info("part {}: the group becomes {}", shard, sorted(want))
             await proposer.regroup(want or {})
 
     def _wanted(self, base: dict) -> dict | None:
@@ -232,9 +236,9 @@
         cards = node.cores.cards
         spares = {i: c["addr"] for i, c in cards.items() if i not in voters and node.available(i)}
         if node.id not in voters and not node.leaving:
-            spares[node.id] = node.addr
+            spares[node.id] = node.address
         silent = {v: max(self._silent(v, now), node.peers.disk_fails_for(v)) for v in voters}
-        zones = {i: c["zone"] for i, c in cards.items()} | {node.id: node.boot.zone}
+        zones = {i: c["zone"] for i, c in cards.items()} | {node.id: node.settings.zone}
         sight = Sight(voters, spares, silent, node.peers.leaving & voters.keys(), zones)
         return wanted_group(sight, self.size, self.patience, node.quiet_s)
 
--- a/archhatch/control/api_requests.py
+++ b/archhatch/control/api_requests.py
@@ -85,9 +85,9 @@
 def call(method: str, pattern: str):
     """Register a decoder for a method and a path pattern."""
 
-    def put(fn):
-        DECODERS.append((method, re.compile(pattern + r"\Z"), fn))
-        return fn
+    def put(function):
+        DECODERS.append((method, re.compile(pattern + r"\Z"), function))
+        return function
 
     return put
 
@@ -109,11 +109,11 @@
     GetPlan()
     """
     path, other = path.split("?", 1)[0], False
-    for meth, pat, fn in DECODERS:
+    for meth, pat, function in DECODERS:
         hit = pat.match(path)
         if hit:
             if meth == method:
-                return fn(*(unquote(g) for g in hit.groups()), heads, body)
+                return function(*(unquote(g) for g in hit.groups()), heads, body)
             other = True
     raise InvalidRequestError(2010 if other else 2009)
 
@@ -123,10 +123,15 @@
     doc = _doc(body, 2004)
     try:
         seq, slots, state = doc.get("Sequence", 0), doc.get("SlotCount", 1), doc["OperState"]
-        addr, svc = doc["Address"], doc["Service"]
+        address, svc = doc["Address"], doc["Service"]
     except KeyError as e:
         raise InvalidRequestError(2004, f"{e.args[0]} is missing") from e
-    if state not in ("up", "draining") or not isinstance(addr, str) or ":" not in addr or not isinstance(svc, str):
+    if (
+        state not in ("up", "draining")
+        or not isinstance(address, str)
+        or ":" not in address
+        or not isinstance(svc, str)
+    ):
         raise InvalidRequestError(2004, "OperState, Address or Service is wrong")
     if any(isinstance(n, bool) or not isinstance(n, int) or n < 0 for n in (seq, slots)):
         raise InvalidRequestError(2004, "Sequence or SlotCount is wrong")
@@ -139,7 +144,7 @@
         {
             "id": iid,
             "service": svc,
-            "addr": addr,
+            "addr": address,
             "zone": str(doc.get("Zone", "")),
             "slots": max(1, slots),
             "state": state,
--- a/archhatch/control/config_commands.py
+++ b/archhatch/control/config_commands.py
@@ -37,18 +37,18 @@
     return hashlib.blake2b(raw, digest_size=8).hexdigest()
 
 
-def _take(val: dict, kind: str, args: dict, build):
-    now = val.get("plan", {}).get("Revision", 0)
+def _take(value: dict, kind: str, args: dict, build):
+    now = value.get("plan", {}).get("Revision", 0)
     number, match = args["doc"]["Revision"], args["match"]
     mark = digest(kind, args["doc"], match)
-    taken = val.get("taken", {}).get(str(number))
+    taken = value.get("taken", {}).get(str(number))
     if taken == mark:
         return DONE, {"Revision": now}, False
-    if taken is None and number <= val.get("taken_floor", 0):
+    if taken is None and number <= value.get("taken_floor", 0):
         return UNSURE, {"Revision": now}, False
     if match > now:
-        return _refuse_ahead(val, mark, match, now)
-    if match < now or mark in val.get("refused", {}):
+        return _refuse_ahead(value, mark, match, now)
+    if match < now or mark in value.get("refused", {}):
         return OTHER_VERSION, {"Revision": now}, False
     try:
         doc = check_config(build())
@@ -56,14 +56,14 @@
         return INVALID, str(e), False
     if doc["Revision"] <= now:
         return NOT_HIGHER, {"Revision": now}, False
-    val["plan"] = doc
-    _remember(val, number, mark)
+    value["plan"] = doc
+    _remember(value, number, mark)
     return DONE, {"Revision": number}, True
 
 
-def _refuse_ahead(val: dict, mark: str, match: int, now: int):
+def _refuse_ahead(value: dict, mark: str, match: int, now: int):
     """Refuse a change that builds on a version which may still come, so that no copy of it is ever taken."""
-    refused = val.setdefault("refused", {})
+    refused = value.setdefault("refused", {})
     if mark in refused:
         return OTHER_VERSION, {"Revision": now}, False
     if len(refused) >= KEEP_REFUSED:
@@ -72,31 +72,31 @@
     return OTHER_VERSION, {"Revision": now}, True
 
 
-def _remember(val: dict, number: int, mark: str) -> None:
+def _remember(value: dict, number: int, mark: str) -> None:
     """Keep the mark of a change that came into force; drop what no copy can bring back."""
-    taken = val.setdefault("taken", {})
+    taken = value.setdefault("taken", {})
     taken[str(number)] = mark
     while len(taken) > KEEP_TAKEN:
         oldest = next(iter(taken))
         del taken[oldest]
-        val["taken_floor"] = int(oldest)
-    if "refused" in val:
-        val["refused"] = {m: match for m, match in val["refused"].items() if match >= number}
+        value["taken_floor"] = int(oldest)
+    if "refused" in value:
+        value["refused"] = {m: match for m, match in value["refused"].items() if match >= number}
 
 
 @commands.on("plan.put")
-def plan_put(val, args):
+def plan_put(value, args):
     """A whole configuration: {"doc": ..., "match": 5}."""
-    return _take(val, "put", args, lambda: args["doc"])
+    return _take(value, "put", args, lambda: args["doc"])
 
 
 @commands.on("plan.patch")
-def plan_patch(val, args):
+def plan_patch(value, args):
     """Named items: {"doc": {"Revision": 9, "Upsert": ...}, "match": 7}."""
-    return _take(val, "patch", args, lambda: merge(val.get("plan", {}), args["doc"]))
+    return _take(value, "patch", args, lambda: merge(value.get("plan", {}), args["doc"]))
 
 
 @commands.on("plan.get")
-def plan_get(val, args):
+def plan_get(value, args):
     """The configuration in force, sure to be the newest."""
-    return (DONE, val["plan"], False) if "plan" in val else (NO_PLAN, None, False)
+    return (DONE, value["plan"], False) if "plan" in value else (NO_PLAN, None, False)
--- a/archhatch/control/contact.py
+++ b/archhatch/control/contact.py
@@ -53,9 +53,9 @@
         """
         return covers({v for v in members(group) if v == me or self.proven(v, now)}, group)
 
-    def newest(self, part: str, voters: dict, now: float) -> int:
+    def newest(self, shard: str, voters: dict, now: float) -> int:
         """The highest version that any of the voters in contact has accepted; -1 if none has."""
-        told = [self._reports[v].accepted.get(part, -1) for v in voters if self.proven(v, now)]
+        told = [self._reports[v].accepted.get(shard, -1) for v in voters if self.proven(v, now)]
         return max(told, default=-1)
 
 
--- a/archhatch/control/feed.py
+++ b/archhatch/control/feed.py
@@ -37,29 +37,29 @@
         while True:
             if node.leaving or not node.serving():
                 raise Refusal(UNREACHED)
-            turn = node.board.turn("news")
+            turn = node.state_board.turn("news")
             left = end - node.clock.now()
             news = self._news(doc, left <= 0)
             if news is not None:
                 return news
-            await node.board.news("news", turn, min(left, node.quiet_s / 2))
+            await node.state_board.wait_for_change("news", turn, min(left, node.quiet_s / 2))
 
     def _news(self, doc: dict, due: bool) -> bytes | None:
         """The answer, if there is something new or it is due."""
         node = self.node
-        known, same = node.registers.known, doc["life"] == node.life
+        known, same = node.registers.known, doc["life"] == node.incarnation
         after = doc["turn"] if same else 0
-        parts = {p: doc["stamps"].get(p) for p, s in known.items() if s["stamp"] > doc["stamps"].get(p, 0)}
+        shards = {p: doc["stamps"].get(p) for p, s in known.items() if s["stamp"] > doc["stamps"].get(p, 0)}
         busy = node.live.busy(node.clock.now())
-        if not (due or parts or node.roll.turn > after or not same or sorted(busy) != doc["busy"]):
+        if not (due or shards or node.registry.turn > after or not same or sorted(busy) != doc["busy"]):
             return None
-        cores = [node.addr] + [c["addr"] for i, c in node.cores.cards.items() if node.available(i)]
+        cores = [node.address] + [c["addr"] for i, c in node.cores.cards.items() if node.available(i)]
         return orjson.dumps(
             {
-                "parts": {part: self.part(part, base) for part, base in parts.items()},
-                "roll": self.roll(after),
-                "life": node.life,
-                "turn": node.roll.turn,
+                "parts": {shard: self.shard(shard, base) for shard, base in shards.items()},
+                "roll": self.registry(after),
+                "life": node.incarnation,
+                "turn": node.registry.turn,
                 "cores": cores,
                 "busy": busy,
                 "id": node.id,
@@ -68,33 +68,33 @@
             }
         )
 
-    def part(self, part: str, base: int | None) -> orjson.Fragment:
+    def shard(self, shard: str, base: int | None) -> orjson.Fragment:
         """What brings a reader from its version of a register, if it has one, to the newest; made once for all that
         have the same."""
-        state = self.node.registers.known[part]
-        history = self._histories.setdefault(part, RegisterHistory())
+        state = self.node.registers.known[shard]
+        history = self._histories.setdefault(shard, RegisterHistory())
         if history.version != state["stamp"]:
-            history.note(state["stamp"], news_view(part, state["val"]))
-            self._part_bytes = {key: raw for key, raw in self._part_bytes.items() if key[0] != part}
-        have = self._part_bytes.get((part, base))
+            history.note(state["stamp"], news_view(shard, state["val"]))
+            self._part_bytes = {key: raw for key, raw in self._part_bytes.items() if key[0] != shard}
+        have = self._part_bytes.get((shard, base))
         if have is None:
-            have = self._part_bytes[part, base] = self._encode(history, base)
+            have = self._part_bytes[shard, base] = self._encode(history, base)
         return have
 
     def _encode(self, history: RegisterHistory, base: int | None) -> orjson.Fragment:
         changes = None if base is None else history.since(base)
         doc = {"stamp": history.version, "val": history.whole}
         if changes is not None:
-            self.node.ctr.add("feed.changes")
+            self.node.counters.add("feed.changes")
             doc = {"stamp": history.version, "base": base, "changes": [orjson.Fragment(raw) for raw in changes]}
         return orjson.Fragment(encode_kept(doc))
 
-    def roll(self, after: int) -> orjson.Fragment:
+    def registry(self, after: int) -> orjson.Fragment:
         """The registry's changes after a turn; made once for all who ask with the same turn."""
-        turn = self.node.roll.turn
+        turn = self.node.registry.turn
         if self._roll_bytes.get("turn") != turn:
             self._roll_bytes = {"turn": turn}
         have = self._roll_bytes.get(after)
         if have is None:
-            have = self._roll_bytes[after] = orjson.Fragment(encode_kept(self.node.roll.since(after)))
+            have = self._roll_bytes[after] = orjson.Fragment(encode_kept(self.node.registry.since(after)))
         return have
--- a/archhatch/control/handlers.py
+++ b/archhatch/control/handlers.py
@@ -37,7 +37,7 @@
     @handlers.on("part.commit")
     async def _commit(doc, body):
         if not node.registers.learn_accepted(doc["part"], doc["stamp"], doc["ballot"]):
-            node.crew.once("hear", node.peers.fetch_state, doc["addr"], doc["part"], "")
+            node.task_group.once("hear", node.peers.fetch_state, doc["addr"], doc["part"], "")
 
     @handlers.on("part.hear")
     async def _hear(doc, body):
@@ -54,10 +54,10 @@
     async def _route(doc, body):
         if not node.serving():
             raise Refusal(UNREACHED)
-        part = doc["part"]
-        if part.startswith(ANY_SERVICE):
-            part = shard_of(part.removeprefix(ANY_SERVICE), OTHERS)
-        code, out = await node.registers.run(part, doc["name"], doc["args"])
+        shard = doc["part"]
+        if shard.startswith(ANY_SERVICE):
+            shard = shard_of(shard.removeprefix(ANY_SERVICE), OTHERS)
+        code, out = await node.registers.run(shard, doc["name"], doc["args"])
         if code != 1000:
             raise Refusal(code, out)
         return out
@@ -86,7 +86,7 @@
         node.peers.heed_live(doc["id"], doc["live"])
         word = {"id": node.id, "live": node.live.own(node.clock.now()), "spread": False}
         for card in list(node.cores.cards.values()):
-            node.crew.once("live", node.call, card["addr"], "live", word)
+            node.task_group.once("live", node.call, card["addr"], "live", word)
 
     @handlers.on("news")
     async def _news(doc, body):
--- a/archhatch/control/leases.py
+++ b/archhatch/control/leases.py
@@ -14,9 +14,9 @@
 
 
 @commands.on("lease.claim")
-def lease_claim(val, args):
+def lease_claim(value, args):
     """Take a duty's lease, if its term is still the one seen: {"duty", "holder", "life", "seen"}."""
-    leases = val.setdefault("leases", {})
+    leases = value.setdefault("leases", {})
     now = leases.get(args["duty"])
     if now and (now["holder"], now["life"]) == (args["holder"], args["life"]) and now["term"] > args["seen"]:
         return 1000, now, False
@@ -26,10 +26,10 @@
     return 1000, leases[args["duty"]], True
 
 
-def held_under(val: dict, duty: str, term: int) -> bool:
+def held_under(value: dict, duty: str, term: int) -> bool:
     """Whether a term is the one under which a duty is held.
 
     >>> held_under({"leases": {"d": {"term": 3}}}, "d", 3), held_under({"leases": {"d": {"term": 3}}}, "d", 2)
     (True, False)
     """
-    return val.get("leases", {}).get(duty, {}).get("term") == term
+    return value.get("leases", {}).get(duty, {}).get("term") == term
--- a/archhatch/control/node.py
+++ b/archhatch/control/node.py
@@ -36,39 +36,39 @@
 class ControlNode:
     """Everything a control node does, put together.
 
-    >>> # node = ControlNode(boot, log); await node.start(); await node.leave()
+    >>> # node = ControlNode(settings, log); await node.start(); await node.leave()
     """
 
-    def __init__(self, boot, log, clock=None, network=None, files=None, disk_worker=None):
-        self.boot, self.log = boot, log
+    def __init__(self, settings, log, clock=None, network=None, files=None, disk_worker=None):
+        self.settings, self.log = settings, log
         self.clock = clock or Clock()
-        self.ctr = Counters()
-        self.crew = TaskGroup(log, self.ctr)
-        self.board = StateBoard()
+        self.counters = Counters()
+        self.task_group = TaskGroup(log, self.counters)
+        self.state_board = StateBoard()
         network = network or TcpNetwork()
-        self.lines = network.pool(self.ctr)
-        self.book = WriteAheadLog(
-            boot.data_dir or "/tmp/archhatch",
+        self.connections = network.pool(self.counters)
+        self.wal = WriteAheadLog(
+            settings.data_dir or "/tmp/archhatch",
             "core",
             log,
             files,
             clock=self.clock,
-            counters=self.ctr,
+            counters=self.counters,
             worker=disk_worker,
-            limit_bytes=boot.disk_mb * 1_000_000,
+            limit_bytes=settings.disk_mb * 1_000_000,
         )
         self.id = ""
-        self.life = f"{random.getrandbits(48):012x}"
-        self.addr = f"{boot.ip}:{boot.ports[0]}"
-        self.beat_s = boot.secs("ContactMs", PING)
-        self.quiet_s = boot.secs("ContactMs", SILENT)
+        self.incarnation = f"{random.getrandbits(48):012x}"
+        self.address = f"{settings.ip}:{settings.ports[0]}"
+        self.heartbeat_interval_s = settings.seconds("ContactMs", PING)
+        self.quiet_s = settings.seconds("ContactMs", SILENT)
         self.started = self.clock.now()
         self.leaving = False
-        self.roll = ReplicaRegistry()
+        self.registry = ReplicaRegistry()
         self.cores = PeerSet()
-        self.stores = PeerSet(step_s=self.beat_s * STORE_STEP)
-        self.live = LiveRequests(boot.secs("ContactMs", 2 / 3))
-        self.quorum = Quorum.of(boot)
+        self.stores = PeerSet(step_s=self.heartbeat_interval_s * STORE_STEP)
+        self.live = LiveRequests(settings.seconds("ContactMs", 2 / 3))
+        self.quorum = Quorum.of(settings)
         self.agreed_time = AgreedTime()
         self.contact = MajorityContact(self.quiet_s)
         self.gate = ServingGate(self.quiet_s)
@@ -80,56 +80,56 @@
         self.evacuations = EvacuationController(self, PLAN)
         self.administration = AdminApi(self)
         self.verbs = register_handlers(self)
-        self.desk = network.server(self.verbs, log, self.ctr, lambda: self.id)
-        self.window = HttpServer(self.administration.answer, log, self.ctr)
+        self.desk = network.server(self.verbs, log, self.counters, lambda: self.id)
+        self.window = HttpServer(self.administration.answer, log, self.counters)
 
     # -- life
 
     async def start(self) -> None:
         """Read the log, found or join the group, and listen."""
-        self.book.snapshot = self.registers.snapshot
-        self.registers.load(self.book, self.book.load())
-        self.book.start()
+        self.wal.snapshot = self.registers.snapshot
+        self.registers.load(self.wal, self.wal.load())
+        self.wal.start()
         if not self.id:
             await self._found()
         self.registers.start()
-        await self.desk.open(self.addr)
-        await self.window.open(self.boot.listen["ControlPlane"])
+        await self.desk.open(self.address)
+        await self.window.open(self.settings.listen["ControlPlane"])
         self.peers.start()
-        self.crew.keep("sweep", self._sweep_loop)
-        self.crew.keep("tend", self._tend_loop)
-        self.crew.keep("rewrite", self._rewrite_loop)
-        self.crew.keep("regions", self.regions.run)
-        self.crew.keep("evacuation", self.evacuations.run)
+        self.task_group.keep("sweep", self._sweep_loop)
+        self.task_group.keep("tend", self._tend_loop)
+        self.task_group.keep("rewrite", self._rewrite_loop)
+        self.task_group.keep("regions", self.regions.run)
+        self.task_group.keep("evacuation", self.evacuations.run)
         founder = bool(self.registers.founders)
-        self.log.info("control node {} is up; founder={} records={}", self.id, founder, self.book.size)
+        self.log.info("control node {} is up; founder={} records={}", self.id, founder, self.wal.size)
 
     async def _found(self) -> None:
         """A first start on an empty disk: the seeds found the group, others get an id by chance and join."""
-        ips = [s.rsplit(":", 1)[0] for s in self.boot.seeds]
-        if self.boot.first and self.boot.ip in ips:
-            self.id = f"f-{self.boot.ip}"
-            self.registers.founders = {f"f-{ip}": f"{ip}:{self.boot.ports[0]}" for ip in ips}
+        ips = [s.rsplit(":", 1)[0] for s in self.settings.seeds]
+        if self.settings.first and self.settings.ip in ips:
+            self.id = f"f-{self.settings.ip}"
+            self.registers.founders = {f"f-{ip}": f"{ip}:{self.settings.ports[0]}" for ip in ips}
         else:
             self.id = f"n-{random.getrandbits(64):016x}"
-        await self.book.append(self.registers.identity())
+        await self.wal.append(self.registers.identity())
 
     async def leave(self) -> None:
         """End in order: another takes this node's work and, where one stands by, its place in the groups."""
         self.leaving = True
-        self.board.touch("news")  # who waits for news is sent on to another node
+        self.state_board.touch("news")  # who waits for news is sent on to another node
         self.peers.announce()
-        end = self.clock.now() + self.boot.secs("GraceS", LEAVE)
-        await asyncio.sleep(self.beat_s)
+        end = self.clock.now() + self.settings.seconds("GraceS", LEAVE)
+        await asyncio.sleep(self.heartbeat_interval_s)
         while self.clock.now() < end and self.registers.needed_for_leaving():
-            await asyncio.sleep(self.beat_s)
+            await asyncio.sleep(self.heartbeat_interval_s)
         self.window.leaving = True
-        await self.window.close(self.boot.secs("GraceS", LEAVE))
-        await self.crew.end()
+        await self.window.close(self.settings.seconds("GraceS", LEAVE))
+        await self.task_group.end()
         await self.desk.close()
-        self.lines.end()
-        await self.book.close()
-        self.log.info("counters {}", self.ctr.line())
+        self.connections.end()
+        await self.wal.close()
+        self.log.info("counters {}", self.counters.line())
 
     # -- what is seen
 
@@ -140,7 +140,13 @@
 
     def card(self) -> dict:
         """What others keep of this node."""
-        return {"id": self.id, "ip": self.boot.ip, "addr": self.addr, "zone": self.boot.zone, "name": self.boot.node}
+        return {
+            "id": self.id,
+            "ip": self.settings.ip,
+            "addr": self.address,
+            "zone": self.settings.zone,
+            "name": self.settings.node,
+        }
 
     def alive(self, node_id: str) -> bool:
         """Whether a control node was heard lately."""
@@ -154,7 +160,7 @@
 
     def disk_takes(self) -> bool:
         """Whether this node's log takes records: the last write went through, and none has waited for long."""
-        return self.book.healthy and self.book.oldest_write_age(self.clock.now()) < self.quiet_s
+        return self.wal.healthy and self.wal.oldest_write_age(self.clock.now()) < self.quiet_s
 
     def in_touch(self) -> bool:
         """Whether a majority of the configuration's group answered this node within the bound."""
@@ -170,7 +176,9 @@
         now, base = self.clock.now(), self.registers.group(PLAN)
         voters = base["voters"] if base else {}
         silent = {
-            r: now - self.roll.heard[r] for r, e in self.roll.all.items() if e.get("silent") and e["state"] != "gone"
+            r: now - self.registry.heard[r]
+            for r, e in self.registry.all.items()
+            if e.get("silent") and e["state"] != "gone"
         }
         return {
             "id": self.id,
@@ -179,50 +187,52 @@
             "voters": len(voters),
             "least_voters": self.registers.size.least,
             "up": sum(1 for v in voters if v == self.id or self.contact.proven(v, now)),
-            "damaged": self.book.damaged,
+            "damaged": self.wal.damaged,
             "stamps": self.registers.versions(),
             "silent": silent,
         }
 
     # -- calls to other control nodes
 
-    async def call(self, addr, verb, doc, secs=None, to=None):
+    async def call(self, address, verb, doc, timeout_s=None, to=None):
         """The document of an answer; None if there is none, or a refusal."""
         try:
-            code, out, _ = await self.lines.to(addr).call(verb, doc, secs=secs or self.quiet_s, to=to or "")
+            code, out, _ = await self.connections.to(address).call(
+                verb, doc, timeout_s=timeout_s or self.quiet_s, to=to or ""
+            )
         except CallError:
             return None
         return out if code == 1000 else None
 
-    async def ask(self, addr, verb, doc):
+    async def ask(self, address, verb, doc):
         """A proposer's question to a voter, this node among them."""
-        if addr == self.addr:
+        if address == self.address:
             return await self.verbs.table[verb](doc, b"")
-        return await self.call(addr, verb, doc)
+        return await self.call(address, verb, doc)
 
-    async def run_command(self, part: str, name: str, args: dict):
+    async def run_command(self, shard: str, name: str, args: dict):
         """Run a command on a register: (code, document). Refusal 3003 if the outcome is unclear."""
-        return await self.registers.run(part, name, args)
+        return await self.registers.run(shard, name, args)
 
-    async def try_command(self, part: str, name: str, args: dict):
+    async def try_command(self, shard: str, name: str, args: dict):
         """Run a command of a duty, which comes round again if no majority answers now: (code, document)."""
         try:
-            return await self.registers.run(part, name, args)
+            return await self.registers.run(shard, name, args)
         except Refusal:
-            self.ctr.add("duty.put_off")
+            self.counters.add("duty.put_off")
             return 3003, None
 
-    def owns(self, part: str) -> bool:
+    def owns(self, shard: str) -> bool:
         """Whether this node is the one to run a register's commands, as far as it knows."""
-        return self.registers.owns(part)
+        return self.registers.owns(shard)
 
     # -- loops
 
     async def _sweep_loop(self) -> None:
         while True:
-            await asyncio.sleep(self.beat_s * SWEEP_PINGS)
-            if self.roll.sweep(self.clock.now(), self.boot.beat_ms / 1000 * SILENT_BEATS):
-                self.board.touch("news")
+            await asyncio.sleep(self.heartbeat_interval_s * SWEEP_PINGS)
+            if self.registry.sweep(self.clock.now(), self.settings.heartbeat_interval_ms / 1000 * SILENT_BEATS):
+                self.state_board.touch("news")
 
     async def _rewrite_loop(self) -> None:
         while True:
@@ -235,16 +245,18 @@
             before = self.clock.now()
             # while a register is still unknown, as after a start, each moment counts
             hurry = 1.0 if len(self.known) == len(PARTS) else HURRY
-            turn = await self.board.news("tend", turn, self.beat_s * random.uniform(1.0, 1.6) * hurry)
+            turn = await self.state_board.wait_for_change(
+                "tend", turn, self.heartbeat_interval_s * random.uniform(1.0, 1.6) * hurry
+            )
             if self.clock.now() - before > self.quiet_s:
                 self.started = self.clock.now()  # this node stood still: what it heard long ago says nothing
-                self.ctr.add("woke")
+                self.counters.add("woke")
             self.peers.heed_disk(self.id, self.disk_takes())
             if not self.in_touch():
                 continue
-            settled = self.clock.now() - self.started >= self.beat_s * SETTLED_PINGS
-            for part in PARTS:
-                if self.owns(part) or self.registers.overdue(part):
-                    await self.registers.tend(part, settled)
+            settled = self.clock.now() - self.started >= self.heartbeat_interval_s * SETTLED_PINGS
+            for shard in PARTS:
+                if self.owns(shard) or self.registers.overdue(shard):
+                    await self.registers.tend(shard, settled)
             if settled and self.serving():
                 await self.store_duty.tend()
--- a/archhatch/control/peers.py
+++ b/archhatch/control/peers.py
@@ -15,7 +15,7 @@
     """What one life of another control node has been told: the turns up to which it knows replicas and stores, and the
     control nodes that were named to it."""
 
-    life: str
+    incarnation: str
     heartbeats: int = 0
     stores: int = 0
     others: tuple = ()
@@ -35,45 +35,45 @@
         self.told: dict[str, PeerReport] = {}  # address -> what the node there has surely taken up
         self.leaving: set = set()  # nodes that said that they are about to end
         self._disk_fails_since: dict[str, float] = {}
-        seeds = {f"{seed.rsplit(':', 1)[0]}:{node.boot.ports[0]}" for seed in node.boot.seeds}
-        self._seeds = seeds - {node.addr}
-        self._watched = {node.addr} | seeds
+        seeds = {f"{seed.rsplit(':', 1)[0]}:{node.settings.ports[0]}" for seed in node.settings.seeds}
+        self._seeds = seeds - {node.address}
+        self._watched = {node.address} | seeds
 
     def start(self) -> None:
         """Ping the seeds; others are found through them."""
-        for addr in sorted(self._seeds):
-            self.node.crew.keep("ping", self.ping_loop, addr)
+        for address in sorted(self._seeds):
+            self.node.task_group.keep("ping", self.ping_loop, address)
 
-    def watch(self, addr: str) -> None:
+    def watch(self, address: str) -> None:
         """Ping an address from now on."""
-        if addr not in self._watched:
-            self._watched.add(addr)
-            self.node.crew.keep("ping", self.ping_loop, addr)
+        if address not in self._watched:
+            self._watched.add(address)
+            self.node.task_group.keep("ping", self.ping_loop, address)
 
     # -- what is told
 
-    def ping_doc(self, addr: str | None) -> dict:
+    def ping_doc(self, address: str | None) -> dict:
         """What a ping, or its answer (no address), tells."""
         node, now = self.node, self.node.clock.now()
         doc = {
             "card": node.card(),
-            "life": node.life,
+            "life": node.incarnation,
             "stamps": node.registers.versions(),
             "accepted": node.registers.accepted(),
             "leaving": node.leaving,
             "takes": node.disk_takes(),
             "wall": node.clock.wall(),
         }
-        if addr is None:
+        if address is None:
             return {**doc, "others": self._others()}
-        told = self.told.get(addr, NOTHING_TOLD)
+        told = self.told.get(address, NOTHING_TOLD)
         if self._names(others := self._others()) != told.others:
             doc["others"] = others
         if node.regions.served:
             doc["served"] = node.regions.words()
         doc["live"] = node.live.own(now)
         doc["stores"] = node.stores.since(told.stores, now)
-        doc["roll"], doc["turn"] = node.roll.beats_since(told.heartbeats, now), node.roll.beat_turn
+        doc["roll"], doc["turn"] = node.registry.beats_since(told.heartbeats, now), node.registry.beat_turn
         return doc
 
     def _others(self) -> list:
@@ -88,13 +88,13 @@
     def announce(self) -> None:
         """Ping all at once: this node has something to say that cannot wait, as that it will end."""
         for card in list(self.node.cores.cards.values()):
-            self.node.crew.once("announce", self._ping, card["addr"])
+            self.node.task_group.once("announce", self._ping, card["addr"])
 
-    def spread_commit(self, part: str, version: int, ballot) -> None:
+    def spread_commit(self, shard: str, version: int, proposal_number) -> None:
         """Tell all that a state was chosen. Who has accepted it needs no copy of it, others fetch it."""
-        doc = {"part": part, "stamp": version, "ballot": list(ballot or ()), "addr": self.node.addr}
+        doc = {"part": shard, "stamp": version, "ballot": list(proposal_number or ()), "addr": self.node.address}
         for card in list(self.node.cores.cards.values()):
-            self.node.crew.once("commit", self.node.call, card["addr"], "part.commit", doc, None, card["id"])
+            self.node.task_group.once("commit", self.node.call, card["addr"], "part.commit", doc, None, card["id"])
 
     # -- what is heard
 
@@ -105,7 +105,7 @@
         self._heed_leaving(doc["card"]["id"], doc.get("leaving", False))
         self.heed_disk(doc["card"]["id"], doc.get("takes", True))
         for other in doc.get("others", []) + [doc["card"]]:
-            if other["id"] != node.id and other["addr"] != node.addr:
+            if other["id"] != node.id and other["addr"] != node.address:
                 if other["id"] not in node.cores.cards and not self._at(other["addr"]):
                     node.cores.learn(other)
                 self.watch(other["addr"])
@@ -114,8 +114,8 @@
         if "live" in doc:
             self.heed_sum(doc["card"]["id"], doc["live"])
         node.regions.heed(doc.get("served", ()))
-        for part in node.registers.told_chosen(doc["stamps"]):
-            node.crew.once("hear", self.fetch_state, doc["card"]["addr"], part, doc["card"]["id"])
+        for shard in node.registers.told_chosen(doc["stamps"]):
+            node.task_group.once("hear", self.fetch_state, doc["card"]["addr"], shard, doc["card"]["id"])
         return lack
 
     def _heed_card(self, card: dict, now: float) -> None:
@@ -129,12 +129,12 @@
         node.cores.hear(card, now)
         if fresh:
             node.log.info("control node {} at {} is known", card["id"], card["addr"])
-            node.board.touch("news")
+            node.state_board.touch("news")
 
     def _heed_leaving(self, node_id: str, leaving: bool) -> None:
         if leaving and node_id not in self.leaving:
             self.leaving.add(node_id)
-            self.node.board.touch("tend")  # its place in the groups is to be taken before it ends
+            self.node.state_board.touch("tend")  # its place in the groups is to be taken before it ends
         elif not leaving:
             self.leaving.discard(node_id)
 
@@ -150,8 +150,8 @@
         now = self.node.clock.now()
         return now - self._disk_fails_since.get(node_id, now)
 
-    def _at(self, addr: str) -> list:
-        return [i for i, card in self.node.cores.cards.items() if card["addr"] == addr]
+    def _at(self, address: str) -> list:
+        return [i for i, card in self.node.cores.cards.items() if card["addr"] == address]
 
     def heed_live(self, edge: str, live: dict) -> None:
         """Live requests that an edge told of here, by service."""
@@ -166,7 +166,7 @@
         before = set(node.live.busy(now))
         put(teller, live, now)
         if set(node.live.busy(now)) != before:
-            node.board.touch("news")
+            node.state_board.touch("news")
 
     def _take_stores(self, sightings: list, now: float) -> bool:
         """Fold when others heard of stores; True if one is named by its id alone and not known here."""
@@ -181,37 +181,39 @@
     def take_roll(self, entries: list) -> bool:
         """Fold what another control node told of replicas; True if something in short form is not known here."""
         node, now = self.node, self.node.clock.now()
-        turn, lack = node.roll.turn, False
+        turn, lack = node.registry.turn, False
         for short in entries:
-            entry = node.roll.whole(short)
+            entry = node.registry.whole(short)
             if entry is None:
                 lack = True
                 continue
             entry = dict(entry)
             age = entry.pop("age", 0.0)
             entry.pop("silent", None)
-            node.roll.beat(entry, now - age)
-        if node.roll.turn != turn:
-            node.board.touch("news")
+            node.registry.beat(entry, now - age)
+        if node.registry.turn != turn:
+            node.state_board.touch("news")
         return lack
 
-    async def fetch_state(self, addr: str, part: str, node_id: str) -> None:
+    async def fetch_state(self, address: str, shard: str, node_id: str) -> None:
         """Ask a node for a newer chosen state that it told of."""
-        state = await self.node.call(addr, "part.hear", {"part": part}, None, node_id)
+        state = await self.node.call(address, "part.hear", {"part": shard}, None, node_id)
         if state is not None:
-            self.node.registers.learn(part, state)
+            self.node.registers.learn(shard, state)
 
     # -- pings
 
-    async def ping_loop(self, addr: str) -> None:
+    async def ping_loop(self, address: str) -> None:
         """Ping an address for good; one that does not answer less often."""
         node, silent_since = self.node, None
         while True:
-            answered = await self._ping(addr)
+            answered = await self._ping(address)
             now = node.clock.now()
             silent_since = None if answered else silent_since or now
-            slower = 1.0 if silent_since is None else min(SLOWEST_PING, 1 + (now - silent_since) * node.beat_s)
-            await asyncio.sleep(node.beat_s * slower * random.uniform(0.9, 1.1))
+            slower = (
+                1.0 if silent_since is None else min(SLOWEST_PING, 1 + (now - silent_since) * node.heartbeat_interval_s)
+            )
+            await asyncio.sleep(node.heartbeat_interval_s * slower * random.uniform(0.9, 1.1))
 
     def _note_time(self, out: dict, sent_at: float) -> None:
         """Fold the time of day that an answer shows: of the middle between its question and its arrival."""
@@ -220,20 +222,20 @@
         if "wall" in out:
             self.node.agreed_time.note(out["card"]["id"], out["wall"], (sent_at + now) / 2)
 
-    async def _ping(self, addr: str) -> bool:
+    async def _ping(self, address: str) -> bool:
         node = self.node
-        turn, stores, sent_at = node.roll.beat_turn, node.stores.turn, node.clock.now()
+        turn, stores, sent_at = node.registry.beat_turn, node.stores.turn, node.clock.now()
         others = self._names(self._others())
-        out = await node.call(addr, "core.ping", self.ping_doc(addr))
+        out = await node.call(address, "core.ping", self.ping_doc(address))
         node.serving()  # a loss of contact is seen before the answer hides it, as after a freeze
         if out is None:
-            self.told.pop(addr, None)
+            self.told.pop(address, None)
             return False
         node.contact.note(out["card"]["id"], sent_at, out.get("accepted", {}))
         self._note_time(out, sent_at)
         self.heed(out)
         node.serving()
         # one that started anew since was told the rest in another life: it is told all again
-        anew = out["lack"] or self.told.get(addr, PeerReport(out["life"])).life != out["life"]
-        self.told[addr] = PeerReport(out["life"]) if anew else PeerReport(out["life"], turn, stores, others)
+        anew = out["lack"] or self.told.get(address, PeerReport(out["life"])).incarnation != out["life"]
+        self.told[address] = PeerReport(out["life"]) if anew else PeerReport(out["life"], turn, stores, others)
         return True
--- a/archhatch/control/registers.py
+++ b/archhatch/control/registers.py
@@ -20,32 +20,32 @@
 
 
 @commands.on("noop")
-def noop(val, args):
+def noop(value, args):
     """Nothing but proof of a majority."""
     return 1000, None, False
 
 
 @commands.on("named.put")
-def named_put(val, args):
+def named_put(value, args):
     """A trainer names a version: {"model", "rev"}. Naming it again is no fault."""
-    named = val.setdefault("named", {})
+    named = value.setdefault("named", {})
     if args["rev"] <= named.get(args["model"], 1):
         return 1000, {"Revision": named.get(args["model"], 1)}, False
     named[args["model"]] = args["rev"]
     return 1000, {"Revision": args["rev"]}, True
 
 
-def news_view(part: str, val: dict) -> dict:
+def news_view(shard: str, value: dict) -> dict:
     """What of a part's value other nodes need."""
-    if part == PLAN:
+    if shard == PLAN:
         return {
-            "plan": val.get("plan"),
-            "stores": val.get("stores", {}),
-            "runs": val.get("runs", {}),
-            "dropped": val.get("dropped", {}),
-            "retired": val.get("retired", {}),
-            "ledger": val.get("ledger", {}),
-            **facts.policy_view(val),
-            **evacuation_commands.feed_view(val),
+            "plan": value.get("plan"),
+            "stores": value.get("stores", {}),
+            "runs": value.get("runs", {}),
+            "dropped": value.get("dropped", {}),
+            "retired": value.get("retired", {}),
+            "ledger": value.get("ledger", {}),
+            **facts.policy_view(value),
+            **evacuation_commands.feed_view(value),
         }
-    return val
+    return value
--- a/archhatch/control/store_membership.py
+++ b/archhatch/control/store_membership.py
@@ -26,11 +26,13 @@
         state = node.registers.known.get(PLAN)
         if state is None:
             return
-        now, val = node.clock.now(), state["val"]
-        members = val.get("stores", {})
+        now, value = node.clock.now(), state["val"]
+        members = value.get("stores", {})
         for store_id, card in list(node.stores.cards.items()):
-            heard = node.stores.silent(store_id, now) < node.boot.secs("ContactMs", HEARD)
-            barred = store_id in members or store_id in val.get("dropped", {}) or card["name"] in val.get("retired", {})
+            heard = node.stores.silent(store_id, now) < node.settings.seconds("ContactMs", HEARD)
+            barred = (
+                store_id in members or store_id in value.get("dropped", {}) or card["name"] in value.get("retired", {})
+            )
             if heard and not barred:
                 await node.try_command(PLAN, "store.join", card)
         if node.registers.owns(PLAN):
@@ -46,8 +48,8 @@
                 if other_id != store_id and other["state"] == "active"
             )
             silent = now - heard
-            spared = replaced and silent > node.boot.secs("SyncS", SILENT)
-            if not spared and silent > node.boot.secs("SyncS", ALONE):
+            spared = replaced and silent > node.settings.seconds("SyncS", SILENT)
+            if not spared and silent > node.settings.seconds("SyncS", ALONE):
                 spared = self._enough_stay(members, store_id, now)
             if member["state"] == "active" and spared:
                 node.log.info("store {} fell silent and others are there: it is to leave", store_id)
@@ -61,6 +63,6 @@
         stay = {
             sid: member
             for sid, member in active(members).items()
-            if sid != gone and node.stores.silent(sid, now) < node.boot.secs("ContactMs", HEARD)
+            if sid != gone and node.stores.silent(sid, now) < node.settings.seconds("ContactMs", HEARD)
         }
         return node.quorum.spares(stay)
--- a/archhatch/data_plane/admission.py
+++ b/archhatch/data_plane/admission.py
@@ -34,19 +34,19 @@
 class Admission:
     """Checks keys against the configuration in force.
 
-    >>> # admitted = admission.check(request, lane)   # Admitted, or the Result that refuses it
+    >>> # admitted = admission.check(request, route)   # Admitted, or the Result that refuses it
     """
 
-    def __init__(self, boot, news, clock, counters, proof_s: float):
-        self.news, self.clock, self.counters = news, clock, counters
-        self.strict = bool(boot.bounds["StrictRevoke"])
-        self.bound_s = confirmation_bound(boot.secs("RevokeMs"), proof_s)
+    def __init__(self, settings, config_watcher, clock, counters, proof_s: float):
+        self.config_watcher, self.clock, self.counters = config_watcher, clock, counters
+        self.strict = bool(settings.bounds["StrictRevoke"])
+        self.bound_s = confirmation_bound(settings.seconds("RevokeMs"), proof_s)
 
     def check(self, plan, headers, no_auth: bool) -> Admitted | Result:
         """Admit a request on a route, or refuse it: 401 for an unknown key, 503 while keys are not confirmed."""
         if no_auth or not plan.has_tenants:
             return Admitted()
-        confirmed = self.clock.now() - self.news.confirmed_at <= self.bound_s
+        confirmed = self.clock.now() - self.config_watcher.confirmed_at <= self.bound_s
         if self.strict and not confirmed:
             return self._unconfirmed()
         keys = headers.getall(KEY, [])
--- a/archhatch/data_plane/edge.py
+++ b/archhatch/data_plane/edge.py
@@ -34,50 +34,62 @@
 class Edge:
     """Everything an edge node does.
 
-    >>> # edge = Edge(boot, log); await edge.start(); await edge.leave()
+    >>> # edge = Edge(settings, log); await edge.start(); await edge.leave()
     """
 
-    def __init__(self, boot, log, clock=None, sock=None):
-        self.boot, self.log, self.sock = boot, log, sock
+    def __init__(self, settings, log, clock=None, sock=None):
+        self.settings, self.log, self.sock = settings, log, sock
         self.clock = clock or Clock()
-        self.ctr = Counters()
-        self.crew = TaskGroup(log, self.ctr)
-        self.board = StateBoard()
-        self.lines = ConnectionPool(self.ctr)
+        self.counters = Counters()
+        self.task_group = TaskGroup(log, self.counters)
+        self.state_board = StateBoard()
+        self.connections = ConnectionPool(self.counters)
         self.plan: RoutingTable | None = None
         self.limits: dict = {}
-        card = {"id": boot.node, "klass": "edge", "name": boot.node, "ip": boot.ip, "zone": boot.zone}
-        self.news = ConfigWatcher(boot, card, self.lines, self.board, self.clock, self.ctr)
-        self.live = self.news.live = Live(self.board, self.clock, boot.secs("ContactMs", 1 / 3))
-        self.picker = LoadBalancer(boot.zone, boot.node, rest_s=boot.secs("ContactMs", 0.3), widen=0.5)
-        self.placement, self.news.proved = self.picker.placement, self.picker.proved
-        self.admission = Admission(boot, self.news, self.clock, self.ctr, boot.secs("ContactMs", 0.25))
+        card = {"id": settings.node, "klass": "edge", "name": settings.node, "ip": settings.ip, "zone": settings.zone}
+        self.config_watcher = ConfigWatcher(
+            settings, card, self.connections, self.state_board, self.clock, self.counters
+        )
+        self.live = self.config_watcher.live = Live(self.state_board, self.clock, settings.seconds("ContactMs", 1 / 3))
+        self.load_balancer = LoadBalancer(
+            settings.zone, settings.node, rest_s=settings.seconds("ContactMs", 0.3), widen=0.5
+        )
+        self.placement, self.config_watcher.proved = self.load_balancer.placement, self.load_balancer.proved
+        self.admission = Admission(
+            settings, self.config_watcher, self.clock, self.counters, settings.seconds("ContactMs", 0.25)
+        )
         self.usage = None
-        if boot.cloud is not None and USAGE_DUTY in boot.cloud.duties:
+        if settings.platform_api is not None and USAGE_DUTY in settings.platform_api.duties:
             process = f"{random.getrandbits(48):012x}"
-            self.usage = UsageSender(boot, self.news, self.lines, self.clock, self.ctr, process)
-        self.life = Machine(
+            self.usage = UsageSender(
+                settings, self.config_watcher, self.connections, self.clock, self.counters, process
+            )
+        self.incarnation = Machine(
             self, states=["starting", "ready", "leaving"], initial="starting", transitions=MOVES, auto_transitions=False
         )
-        self.window = HttpServer(self._front, log, self.ctr, self.limits, cancel_on_disconnect=True)
-        self.door = HttpServer(self._readiness, log, self.ctr)
+        self.window = HttpServer(self._front, log, self.counters, self.limits, cancel_on_disconnect=True)
+        self.door = HttpServer(self._readiness, log, self.counters)
 
     async def start(self) -> None:
-        self.caller = UpstreamClient(counters=self.ctr)
-        self.picker.idle = self.caller.idle
-        store_port, rest_s = self.boot.ports[0] + 1, self.boot.secs("ContactMs", 0.3)
-        proxies = StoreProxies(self.news, self.lines, store_port, self.boot.zone, rest_s, self.ctr)
-        self.forward = Forward(self.caller, self.picker, self.clock, self.ctr, self.live, proxies, self.usage)
-        self.relay = Relay(self.caller, self.picker, self.clock, self.ctr, self.live, self.usage)
-        self.lots = JobHandlers(self.boot, self.news, self.lines, self.ctr, self.clock)
-        await self.door.open(self.boot.listen["Readiness"])
-        await self.window.open(self.boot.listen["FrontHttp"], self.sock)
-        self.crew.keep("news", self.news.run)
-        self.crew.keep("parts", self._parts_loop)
-        self.crew.keep("live", self._live_loop)
+        self.upstream_client = UpstreamClient(counters=self.counters)
+        self.load_balancer.idle = self.upstream_client.idle
+        store_port, rest_s = self.settings.ports[0] + 1, self.settings.seconds("ContactMs", 0.3)
+        proxies = StoreProxies(
+            self.config_watcher, self.connections, store_port, self.settings.zone, rest_s, self.counters
+        )
+        self.forward = Forward(
+            self.upstream_client, self.load_balancer, self.clock, self.counters, self.live, proxies, self.usage
+        )
+        self.relay = Relay(self.upstream_client, self.load_balancer, self.clock, self.counters, self.live, self.usage)
+        self.batch_jobs = JobHandlers(self.settings, self.config_watcher, self.connections, self.counters, self.clock)
+        await self.door.open(self.settings.listen["Readiness"])
+        await self.window.open(self.settings.listen["FrontHttp"], self.sock)
+        self.task_group.keep("news", self.config_watcher.run)
+        self.task_group.keep("parts", self._parts_loop)
+        self.task_group.keep("live", self._live_loop)
         if self.usage is not None:
-            self.crew.keep("usage", self.usage.run)
-        self.crew.keep("roll", self._roll_loop)
+            self.task_group.keep("usage", self.usage.run)
+        self.task_group.keep("roll", self._roll_loop)
 
     async def leave(self) -> None:
         """Off the list at once; what comes meanwhile is served; then the end, before GraceS."""
@@ -85,83 +97,85 @@
         self.log.info("leaving; under way {}", self.window.under_way)
         self.window.leaving = True
         # the platform asks for readiness each second and wants two misses
-        await asyncio.sleep(self.boot.secs("GraceS", 0.32))
-        await self.window.close(self.boot.secs("GraceS", 0.5))
+        await asyncio.sleep(self.settings.seconds("GraceS", 0.32))
+        await self.window.close(self.settings.seconds("GraceS", 0.5))
         await self.door.close(0.0)
         if self.usage is not None:
             await self.usage.tell()
-        await self.crew.end()
-        await self.caller.close()
-        self.lines.end()
-        self.log.info("counters {}", self.ctr.line())
+        await self.task_group.end()
+        await self.upstream_client.close()
+        self.connections.end()
+        self.log.info("counters {}", self.counters.line())
 
     async def _parts_loop(self) -> None:
         turn = 0
         while True:
-            if self.placement.fold(self.news.parts.get("plan")):
+            if self.placement.fold(self.config_watcher.shards.get("plan")):
                 self.log.info("placement policy: {}", self.placement)
-            doc = (self.news.parts.get("plan") or {}).get("plan")
+            doc = (self.config_watcher.shards.get("plan") or {}).get("plan")
             if doc is not None and (self.plan is None or doc["Revision"] > self.plan.stamp):
-                self.plan = self.news.plan = RoutingTable(doc)
+                self.plan = self.config_watcher.plan = RoutingTable(doc)
                 self.limits.update(self.plan.limits)
                 self.log.info("configuration {} is in force", self.plan.stamp)
                 self.learned()
-            turn = await self.board.news("parts", turn)
+            turn = await self.state_board.wait_for_change("parts", turn)
 
     async def _live_loop(self) -> None:
         """The first live request after a lull is told at once, not with the next question for news."""
         turn = 0
         while True:
-            turn = await self.board.news("live", turn)
+            turn = await self.state_board.wait_for_change("live", turn)
             busy = {s: n for s, n in self.live.now.items() if n}
-            if set(busy) <= set(self.news.busy):
+            if set(busy) <= set(self.config_watcher.busy):
                 continue  # all know already
-            for addr in self.news.candidates()[:2]:
+            for address in self.config_watcher.candidates()[:2]:
                 try:
-                    await self.news.call(addr, "live", {"id": self.boot.node, "live": busy}, 0.3)
+                    await self.config_watcher.call(address, "live", {"id": self.settings.node, "live": busy}, 0.3)
                     break
                 except CallError:
-                    self.ctr.add("live.untold")
+                    self.counters.add("live.untold")
 
     async def _roll_loop(self) -> None:
         turn = 0
         while True:
-            self.picker.fold(self.news.take_roll())
-            turn = await self.board.news("roll", turn)
+            self.load_balancer.fold(self.config_watcher.take_roll())
+            turn = await self.state_board.wait_for_change("roll", turn)
 
-    async def _readiness(self, req, body):
-        if req.raw_path.split("?")[0] != "/api/readiness":
+    async def _readiness(self, request, body):
+        if request.raw_path.split("?")[0] != "/api/readiness":
             return error_result(2009)
         return Result(200 if self.state == "ready" else 503)
 
-    async def _front(self, req, body):
+    async def _front(self, request, body):
         if self.plan is None:  # just started: the configuration is a moment away
-            await self.board.news("parts", self.board.turn("parts"), self.boot.secs("ContactMs", 0.1))
+            await self.state_board.wait_for_change(
+                "parts", self.state_board.turn("parts"), self.settings.seconds("ContactMs", 0.1)
+            )
             await asyncio.sleep(0)
         plan = self.plan
         if plan is None:
-            self.ctr.add("front.no_plan")
-            return error_result(3001, after_s=self.boot.secs("ContactMs", 0.05))
-        target = req.raw_path
+            self.counters.add("front.no_plan")
+            return error_result(3001, after_s=self.settings.seconds("ContactMs", 0.05))
+        target = request.raw_path
         path = target.split("?", 1)[0]
         if path.startswith(("/api/lots/", "/api/items/")):
-            admitted = self.admission.check(plan, req.headers, plan.open_to_lots(req.headers.get("Host", "")))
-            return await self.lots.read(req, path, target) if isinstance(admitted, Admitted) else admitted
-        lane = plan.lane(req.headers.get("Host", ""), path)
-        if lane is None:
-            self.ctr.add("front.no_lane")
+            admitted = self.admission.check(plan, request.headers, plan.open_to_lots(request.headers.get("Host", "")))
+            return await self.batch_jobs.read(request, path, target) if isinstance(admitted, Admitted) else admitted
+        route = plan.route(request.headers.get("Host", ""), path)
+        if route is None:
+            self.counters.add("front.no_lane")
             return error_result(2006)
-        self.ctr.add("front." + lane.kind)
-        admitted = self.admission.check(plan, req.headers, lane.no_auth)
+        self.counters.add("front." + route.kind)
+        admitted = self.admission.check(plan, request.headers, route.no_auth)
         if not isinstance(admitted, Admitted):
             return admitted
-        heads = list(req.headers.items())
+        heads = list(request.headers.items())
         if plan.has_tenants:
             heads = with_tenant(heads, admitted.tenant)
-        if lane.kind in ("rollout", "batch"):
-            if req.method != "POST":
+        if route.kind in ("rollout", "batch"):
+            if request.method != "POST":
                 return error_result(2010)
-            return await self.lots.hand_in(req, lane, body, admitted.tenant)
-        if lane.kind == "streaming":
-            return await self.relay.run(req, lane, heads, body, admitted.tenant)
-        return await self.forward.run(req, lane, heads, body, admitted.tenant)
+            return await self.batch_jobs.hand_in(request, route, body, admitted.tenant)
+        if route.kind == "streaming":
+            return await self.relay.run(request, route, heads, body, admitted.tenant)
+        return await self.forward.run(request, route, heads, body, admitted.tenant)
--- a/archhatch/data_plane/forward.py
+++ b/archhatch/data_plane/forward.py
@@ -30,25 +30,31 @@
 class Forward:
     """Runs one request of an idempotent or a non-idempotent lane.
 
-    >>> # result = await forward.run(request, lane, heads, body)
+    >>> # result = await forward.run(request, route, heads, body)
     """
 
-    def __init__(self, caller, picker, clock, ctr, live, proxies=None, usage=None):
-        self.caller, self.picker, self.clock, self.ctr, self.live = caller, picker, clock, ctr, live
+    def __init__(self, upstream_client, load_balancer, clock, counters, live, proxies=None, usage=None):
+        self.upstream_client, self.load_balancer, self.clock, self.counters, self.live = (
+            upstream_client,
+            load_balancer,
+            clock,
+            counters,
+            live,
+        )
         self.proxies, self.usage = proxies, usage
         self.outlived: set = set()  # holds the sends whose request was answered by another
 
-    async def run(self, req, lane, heads: list, body: bytes, tenant: str | None = None) -> Result:
+    async def run(self, request, route, heads: list, body: bytes, tenant: str | None = None) -> Result:
         """Send a tenant's request on with these headers; what its client is to be answered."""
         began = self.clock.now()
-        allowed_ms = read_decimal(req.headers.get(DEADLINE, "60000"))
+        allowed_ms = read_decimal(request.headers.get(DEADLINE, "60000"))
         if allowed_ms is None:
             return error_result(2001, DEADLINE)
-        end = began + min(allowed_ms / 1000, lane.timeout_s)
-        rid = req.headers.get(ECHO, "")
+        end = began + min(allowed_ms / 1000, route.timeout_s)
+        rid = request.headers.get(ECHO, "")
         if not rid:
             return error_result(2001, f"{ECHO} is missing")
-        job = _Job(self, req.method, req.raw_path, heads, body, rid, lane, end, tenant)
+        job = _Job(self, request.method, request.raw_path, heads, body, rid, route, end, tenant)
         self.live.enter(job.service)
         try:
             return await job.run()
@@ -60,40 +66,40 @@
 
 
 class _Job:
-    def __init__(self, fwd, method, target, heads, body, rid, lane, end, tenant):
+    def __init__(self, fwd, method, target, heads, body, rid, route, end, tenant):
         self.fwd, self.method, self.target = fwd, method, target
-        self.heads, self.body, self.rid, self.lane, self.end = heads, body, rid, lane, end
+        self.heads, self.body, self.rid, self.route, self.end = heads, body, rid, route, end
         self.tenant, self.counted = tenant, False
         self.tried: set = set()
         self.out: dict[asyncio.Task, _Send] = {}
-        self.again = lane.kind == "idempotent"
+        self.again = route.kind == "idempotent"
         self.may_have_run = False
         self.last = None
         self.client_is_there = True
-        self.service = lane.pick()
+        self.service = route.pick()
 
     async def run(self) -> Result:
-        clock, lane = self.fwd.clock, self.lane
+        clock, route = self.fwd.clock, self.route
         next_at = 0.0
         while True:
             now = clock.now()
             if now >= self.end:
                 break
             sent = len(self.tried)
-            if sent < lane.sends and now >= next_at and (not self.out or self.again):
-                line = self.fwd.picker.pick(
-                    self.service, self.tried, now, lane, sure=not self.again, early=bool(self.out)
+            if sent < route.sends and now >= next_at and (not self.out or self.again):
+                line = self.fwd.load_balancer.pick(
+                    self.service, self.tried, now, route, sure=not self.again, early=bool(self.out)
                 )
                 if line is not None:
                     self._send(line, now)
-                    next_at = now + max(0.02, EARLY * lane.aim_s)
+                    next_at = now + max(0.02, EARLY * route.aim_s)
                 elif not self.out:
                     break
                 else:
                     next_at = self.end
             elif not self.out:
                 break
-            wait = min(self.end, next_at if len(self.tried) < lane.sends and self.again else self.end) - now
+            wait = min(self.end, next_at if len(self.tried) < route.sends and self.again else self.end) - now
             done, _ = await asyncio.wait(self.out, timeout=max(0.0, wait), return_when=asyncio.FIRST_COMPLETED)
             for task in done:
                 res = self._judge(task)
@@ -109,16 +115,16 @@
             return self._pass(self.last)
         if had or self.may_have_run:
             return error_result(4002 if had else 4001)
-        self.fwd.ctr.add("front.refused")
-        return error_result(self.fwd.picker.refusal(self.service, lane), after_s=min(0.25, lane.aim_s * 0.5))
+        self.fwd.counters.add("front.refused")
+        return error_result(self.fwd.load_balancer.refusal(self.service, route), after_s=min(0.25, route.aim_s * 0.5))
 
     def _send(self, line, now) -> None:
         """Send to a replica; a rare request for which no connection is warm goes by a store, once."""
         first = not self.tried
         self.tried.add(line.iid)
-        self.fwd.ctr.add("send")
+        self.fwd.counters.add("send")
         if self.out:
-            self.fwd.ctr.add("send.early")
+            self.fwd.counters.add("send.early")
             self._note_slow_proxies(now)
         proxy = self._proxy(line, now) if first else None
         if proxy is not None:
@@ -139,7 +145,7 @@
         proxies = self.fwd.proxies
         if proxies is None or not self.again or not proxies.rare(self.service, now):
             return None
-        if self.fwd.caller.idle(line.addr) or not all((k + v).isascii() for k, v in self.heads):
+        if self.fwd.upstream_client.idle(line.address) or not all((k + v).isascii() for k, v in self.heads):
             return None
         return proxies.choose(self.service, now)
 
@@ -157,8 +163,8 @@
         return await self.fwd.proxies.send(proxy, doc, self.body, self.end - now, self.fwd.clock.now)
 
     async def _send_to(self, line, now):
-        return await self.fwd.caller.send(
-            line.addr,
+        return await self.fwd.upstream_client.send(
+            line.address,
             line.iid,
             self.method,
             self.target,
@@ -173,22 +179,22 @@
     def _judge(self, task) -> Result | None:
         send = self.out.pop(task)
         send.end()
-        now, ans = self.fwd.clock.now(), task.result()
-        self._count(send, ans)
+        now, answer = self.fwd.clock.now(), task.result()
+        self._count(send, answer)
         if send.line is not None:
-            self.fwd.picker.judge(send.line, ans, now, now - send.at, self.lane.aim_s * 0.3)
-        if ans.ran is Ran.YES and ans.status < 500 and ans.status not in PROMISES:
-            return self._pass(ans)
-        self.fwd.ctr.add(f"send.{ans.ran.value}.{ans.status}")
-        if ans.ran is not Ran.NO:
+            self.fwd.load_balancer.judge(send.line, answer, now, now - send.at, self.route.aim_s * 0.3)
+        if answer.ran is Ran.YES and answer.status < 500 and answer.status not in PROMISES:
+            return self._pass(answer)
+        self.fwd.counters.add(f"send.{answer.ran.value}.{answer.status}")
+        if answer.ran is not Ran.NO:
             self.may_have_run = True
-        if self.last is None or ans.ran is Ran.YES:
-            self.last = ans
+        if self.last is None or answer.ran is Ran.YES:
+            self.last = answer
         return None
 
-    def _count(self, send: _Send, ans) -> None:
+    def _count(self, send: _Send, answer) -> None:
         """Count a request's first run for its tenant's usage. Nobody can say whether a send without an answer ran."""
-        if self.counted or self.tenant is None or self.fwd.usage is None or ans.ran is not Ran.YES:
+        if self.counted or self.tenant is None or self.fwd.usage is None or answer.ran is not Ran.YES:
             return
         self.counted = True
         self.fwd.usage.began(self.tenant, send.at)
@@ -197,7 +203,7 @@
         """The client closed its connection: nothing new is sent. What may be repeated is broken off, as nobody waits
         for it; what may run only once goes on, so that it is not left half done."""
         self.client_is_there = False
-        self.fwd.ctr.add("front.client_left")
+        self.fwd.counters.add("front.client_left")
         if not self.again:
             self._let_end()
             return
@@ -217,13 +223,13 @@
 
     async def _outlive(self, task, send: _Send) -> None:
         try:
-            ans = await task
+            answer = await task
         finally:
             send.end()
-        self._count(send, ans)
+        self._count(send, answer)
         now = self.fwd.clock.now()
         if send.line is not None:
-            self.fwd.picker.judge(send.line, ans, now, now - send.at, self.lane.aim_s * 0.3)
+            self.fwd.load_balancer.judge(send.line, answer, now, now - send.at, self.route.aim_s * 0.3)
 
     def _drop(self) -> None:
         """The time is over: break off what is still under way."""
@@ -231,16 +237,16 @@
         for task, send in self.out.items():
             task.cancel()
             send.end()
-            soon = now - send.at < self.lane.aim_s  # its time was too short to prove more than that
+            soon = now - send.at < self.route.aim_s  # its time was too short to prove more than that
             if send.line is not None:
-                self.fwd.picker.note(
-                    send.line, "late" if soon else "faulted", now, now - send.at, self.lane.aim_s * 0.3
+                self.fwd.load_balancer.note(
+                    send.line, "late" if soon else "faulted", now, now - send.at, self.route.aim_s * 0.3
                 )
         self.out.clear()
 
-    def _pass(self, ans) -> Result:
+    def _pass(self, answer) -> Result:
         """A replica's answer to the client; a refusal without proof is not passed on, as it would be a promise."""
-        if ans.status in PROMISES:
-            self.fwd.ctr.add("front.no_proof")
+        if answer.status in PROMISES:
+            self.fwd.counters.add("front.no_proof")
             return error_result(4001)
-        return Result(ans.status, ans.body, pass_on(ans.heads))
+        return Result(answer.status, answer.body, pass_on(answer.heads))
--- a/archhatch/data_plane/live_requests.py
+++ b/archhatch/data_plane/live_requests.py
@@ -13,8 +13,8 @@
     (['s'], {})
     """
 
-    def __init__(self, board, clock, quiet_s: float):
-        self.board, self.clock, self.quiet_s = board, clock, quiet_s
+    def __init__(self, state_board, clock, quiet_s: float):
+        self.state_board, self.clock, self.quiet_s = state_board, clock, quiet_s
         self.now: dict[str, int] = {}
         self.area: dict[str, float] = {}  # request seconds since the last tally
         self.last: dict[str, float] = {}
@@ -28,7 +28,7 @@
 
     def enter(self, service: str) -> None:
         if self.clock.now() - self.last.get(service, float("-inf")) > self.quiet_s and not self.now.get(service):
-            self.board.touch("live")  # the first after a lull: say so at once
+            self.state_board.touch("live")  # the first after a lull: say so at once
         self._move(service, 1)
 
     def leave(self, service: str) -> None:
--- a/archhatch/data_plane/relay.py
+++ b/archhatch/data_plane/relay.py
@@ -49,23 +49,29 @@
 class Relay:
     """Runs one request of a streaming lane.
 
-    >>> # result = await relay.run(request, lane, heads, body)
+    >>> # result = await relay.run(request, route, heads, body)
     """
 
-    def __init__(self, caller, picker, clock, ctr, live, usage=None):
+    def __init__(self, upstream_client, load_balancer, clock, counters, live, usage=None):
         self.usage = usage
-        self.caller, self.picker, self.clock, self.ctr, self.live = caller, picker, clock, ctr, live
+        self.upstream_client, self.load_balancer, self.clock, self.counters, self.live = (
+            upstream_client,
+            load_balancer,
+            clock,
+            counters,
+            live,
+        )
 
-    async def run(self, req, lane, heads: list, body: bytes, tenant: str | None = None):
+    async def run(self, request, route, heads: list, body: bytes, tenant: str | None = None):
         """Pass a stream on; what the client's connection is to send or, after the first event, has sent."""
-        allowed_ms = read_decimal(req.headers.get(DEADLINE, "60000"))
+        allowed_ms = read_decimal(request.headers.get(DEADLINE, "60000"))
         if allowed_ms is None:
             return error_result(2001, DEADLINE)
-        rid = req.headers.get(ECHO, "")
+        rid = request.headers.get(ECHO, "")
         if not rid:
             return error_result(2001, f"{ECHO} is missing")
-        end = self.clock.now() + min(allowed_ms / 1000, lane.timeout_s)
-        stream = _Stream(self, req, lane, heads, body, rid, end, tenant)
+        end = self.clock.now() + min(allowed_ms / 1000, route.timeout_s)
+        stream = _Stream(self, request, route, heads, body, rid, end, tenant)
         self.live.enter(stream.service)
         try:
             return await stream.run()
@@ -76,25 +82,25 @@
 class _Stream:
     """One request's stream, over the replicas that make it."""
 
-    def __init__(self, relay, req, lane, heads, body, rid, end, tenant):
+    def __init__(self, relay, request, route, heads, body, rid, end, tenant):
         self.tenant, self.counted = tenant, False
-        self.relay, self.req, self.lane, self.heads, self.body = relay, req, lane, heads, body
-        self.rid, self.end, self.service = rid, end, lane.pick()
-        self.mode = AGAIN if lane.resumable else ONCE
+        self.relay, self.request, self.route, self.heads, self.body = relay, request, route, heads, body
+        self.rid, self.end, self.service = rid, end, route.pick()
+        self.mode = AGAIN if route.resumable else ONCE
         self.out: StreamResponse | None = None  # the answer, from its first head on
         self.answer: Result | None = None  # an answer that is no stream
         self.last: str | None = None  # the id of the last event that was passed on
         self.events = 0
         self.may_have_run = False
-        self.sends_left = lane.sends
+        self.sends_left = route.sends
 
     async def run(self):
         """Ask one replica after the other, as far as that is allowed."""
-        lane, tried = self.lane, set()
+        route, tried = self.route, set()
         while self.sends_left:
             self.sends_left -= 1
             now = self.relay.clock.now()
-            line = self.relay.picker.pick(self.service, tried, now, lane, sure=not lane.resumable)
+            line = self.relay.load_balancer.pick(self.service, tried, now, route, sure=not route.resumable)
             if line is None or now >= self.end:
                 break
             tried.add(line.iid)
@@ -111,13 +117,13 @@
 
     def _give_up(self):
         if self.out is not None:
-            if self.req.transport is not None:
-                self.req.transport.abort()  # an answer that ends early must not look whole
+            if self.request.transport is not None:
+                self.request.transport.abort()  # an answer that ends early must not look whole
             return self.out
         if self.may_have_run:
             return error_result(4001)
         return error_result(
-            self.relay.picker.refusal(self.service, self.lane), after_s=min(0.25, self.lane.aim_s * 0.5)
+            self.relay.load_balancer.refusal(self.service, self.route), after_s=min(0.25, self.route.aim_s * 0.5)
         )
 
     async def _send(self, line) -> _After:
@@ -126,44 +132,44 @@
             heads.append((LAST_ID, self.last))
         clock = self.relay.clock
         try:
-            async with self.relay.caller.ask(
-                line.addr,
+            async with self.relay.upstream_client.ask(
+                line.address,
                 line.iid,
-                self.req.method,
-                self.req.raw_path,
+                self.request.method,
+                self.request.raw_path,
                 heads,
                 self.body,
                 self.end - clock.now(),
                 self.mode,
                 lambda: clock.now() < self.end,
-            ) as resp:
-                return await self._take(line, resp)
+            ) as response:
+                return await self._take(line, response)
         except (aiohttp.ClientError, OSError, ValueError, asyncio.TimeoutError) as e:
             return self._broke_off(line, e)
 
-    async def _take(self, line, resp) -> _After:
+    async def _take(self, line, response) -> _After:
         """Take up what one replica answers."""
-        if not belongs(resp, self.rid, self.mode):
-            resp.close()
+        if not belongs(response, self.rid, self.mode):
+            response.close()
             raise InvalidAnswerError("answer of another request")
-        if resp.status >= 300:
-            return await self._take_whole(line, resp)
+        if response.status >= 300:
+            return await self._take_whole(line, response)
         self.may_have_run = True
-        if SEAL not in resp.headers or "Content-Encoding" in resp.headers or not has_end(resp):
-            resp.close()
+        if SEAL not in response.headers or "Content-Encoding" in response.headers or not has_end(response):
+            response.close()
             raise InvalidAnswerError("no seal, an encoding, or nothing that tells where it ends")
         if self.out is None:
-            self.out = StreamResponse(status=resp.status, headers=pass_on(resp.headers.items()))
+            self.out = StreamResponse(status=response.status, headers=pass_on(response.headers.items()))
             self.out.enable_chunked_encoding()
-            await self.out.prepare(self.req)
-        await self._pass_events(line, resp)
-        self.relay.picker.note(line, "served", self.relay.clock.now())
+            await self.out.prepare(self.request)
+        await self._pass_events(line, response)
+        self.relay.load_balancer.note(line, "served", self.relay.clock.now())
         await self.out.write_eof()
         return _After.DONE
 
-    async def _pass_events(self, line, resp) -> None:
+    async def _pass_events(self, line, response) -> None:
         reader, resumed = EventReader(), self.events > 0
-        async for raw in resp.content.iter_any():
+        async for raw in response.content.iter_any():
             for event in reader.feed(raw):
                 if resumed and not follows(self.last, event.id):
                     raise InvalidAnswerError("a stream that was resumed gives an event again")
@@ -184,47 +190,47 @@
 
     def _is_to_move(self, line) -> bool:
         """Whether a planned move takes the stream away from its replica, and it can go on at another."""
-        lane, picker = self.lane, self.relay.picker
-        if not (lane.resumable and self.sends_left and picker.placement.leaves(lane, line.zone)):
+        route, load_balancer = self.route, self.relay.load_balancer
+        if not (route.resumable and self.sends_left and load_balancer.placement.leaves(route, line.zone)):
             return False
-        return picker.has_other(self.service, line.iid, lane)
+        return load_balancer.has_other(self.service, line.iid, route)
 
-    async def _take_whole(self, line, resp) -> _After:
+    async def _take_whole(self, line, response) -> _After:
         """An answer that is no stream; only once it is whole, it proves what it says."""
-        turned_away = says_not_run(resp)
+        turned_away = says_not_run(response)
         self.may_have_run = self.may_have_run or not turned_away
-        data = await resp.read()
-        if not has_end(resp):
+        data = await response.read()
+        if not has_end(response):
             raise InvalidAnswerError("nothing tells where its body ends")
         now = self.relay.clock.now()
         if turned_away:
-            self.relay.picker.judge(line, Answer(Ran.NO, resp.status), now, 0.0, 1.0)
+            self.relay.load_balancer.judge(line, Answer(Ran.NO, response.status), now, 0.0, 1.0)
             return _After.NEXT
-        self.relay.picker.note(line, "faulted" if resp.status >= 500 else "served", now)
+        self.relay.load_balancer.note(line, "faulted" if response.status >= 500 else "served", now)
         if self.out is not None:
             return _After.STOP
-        self.answer = self._whole_answer(resp, data)
+        self.answer = self._whole_answer(response, data)
         return _After.DONE
 
-    def _whole_answer(self, resp, data: bytes) -> Result:
-        if resp.status in PROMISES:  # it bears no proof, and passed on it would be a promise
-            self.relay.ctr.add("front.no_proof")
+    def _whole_answer(self, response, data: bytes) -> Result:
+        if response.status in PROMISES:  # it bears no proof, and passed on it would be a promise
+            self.relay.counters.add("front.no_proof")
             return error_result(4001)
-        return Result(resp.status, data, pass_on(resp.headers.items()))
+        return Result(response.status, data, pass_on(response.headers.items()))
 
     def _broke_off(self, line, fault: Exception) -> _After:
         """What a send that ended without a whole answer leaves."""
-        if self.req.transport is None or self.req.transport.is_closing():
+        if self.request.transport is None or self.request.transport.is_closing():
             self.answer = error_result(4001)  # it is the client that left
             return _After.DONE
         unreached = isinstance(fault, (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError))
         if not unreached and not isinstance(fault, NotSentError):
             self.may_have_run = True
         if isinstance(fault, Relocated):
-            self.relay.ctr.add("stream.moved_on")
+            self.relay.counters.add("stream.moved_on")
             return _After.NEXT
         if not isinstance(fault, (StaleConnectionError, NotSentError)):
-            self.relay.picker.note(line, "vanished" if unreached else "faulted", self.relay.clock.now())
-        if self.may_have_run and not self.lane.resumable:
+            self.relay.load_balancer.note(line, "vanished" if unreached else "faulted", self.relay.clock.now())
+        if self.may_have_run and not self.route.resumable:
             return _After.STOP
         return _After.NEXT if self.last is not None or not self.events else _After.STOP
--- a/archhatch/data_plane/store_proxies.py
+++ b/archhatch/data_plane/store_proxies.py
@@ -24,7 +24,7 @@
     """A store that may send a request."""
 
     sid: str
-    addr: str
+    address: str
 
 
 @dataclass(slots=True)
@@ -44,11 +44,19 @@
 class StoreProxies:
     """Chooses a store for a rare request, and has it sent.
 
-    >>> # proxy = proxies.choose("service", clock.now()); answer = await proxies.send(proxy, request_doc, body, secs)
+    >>> # proxy = proxies.choose("service", clock.now())
+    >>> # answer = await proxies.send(proxy, request_doc, body, timeout_s)
     """
 
-    def __init__(self, news, lines, port: int, zone: str, rest_s: float, ctr):
-        self.news, self.lines, self.port, self.zone, self.rest_s, self.ctr = news, lines, port, zone, rest_s, ctr
+    def __init__(self, config_watcher, lines, port: int, zone: str, rest_s: float, counters):
+        self.config_watcher, self.connections, self.port, self.zone, self.rest_s, self.counters = (
+            config_watcher,
+            lines,
+            port,
+            zone,
+            rest_s,
+            counters,
+        )
         self._rates: dict[str, _Rate] = {}
         self._resting: dict[str, float] = {}  # store -> until when it is not asked
 
@@ -59,8 +67,12 @@
     def choose(self, service: str, now: float) -> Proxy | None:
         """The store of this zone for a service, the same for all edges of the zone; one that leads runs has other
         work."""
-        register = self.news.parts.get("plan") or {}
-        holders = {lease["holder"] for val in self.news.parts.values() for lease in (val.get("tenures") or {}).values()}
+        register = self.config_watcher.shards.get("plan") or {}
+        holders = {
+            lease["holder"]
+            for value in self.config_watcher.shards.values()
+            for lease in (value.get("tenures") or {}).values()
+        }
         here = {
             sid: member
             for sid, member in active(register.get("stores", {})).items()
@@ -75,12 +87,12 @@
         """Do not ask a store for a while."""
         self._resting[proxy.sid] = now + self.rest_s
 
-    async def send(self, proxy: Proxy, doc: dict, body: bytes, secs: float, now) -> Answer:
+    async def send(self, proxy: Proxy, doc: dict, body: bytes, timeout_s: float, now) -> Answer:
         """Have a store send a request; what its replica answered. now() gives the time."""
-        self.ctr.add("send.by_store")
+        self.counters.add("send.by_store")
         try:
-            code, out, raw = await self.lines.to(proxy.addr).call(
-                "request.send", {"to": proxy.sid, **doc}, body, secs=secs
+            code, out, raw = await self.connections.to(proxy.address).call(
+                "request.send", {"to": proxy.sid, **doc}, body, timeout_s=timeout_s
             )
         except CallError as e:
             self.rest(proxy, now())
@@ -88,7 +100,7 @@
         if code == 1000:
             heads = [tuple(head) for head in out["heads"]]
             return Answer(Ran(out["ran"]), out["status"], heads, raw, out["why"])
-        self.ctr.add(f"send.by_store.{code}")
+        self.counters.add(f"send.by_store.{code}")
         if code != 3002:
             self.rest(proxy, now())
         return Answer(Ran.NO if code in NOT_RUN else Ran.MAYBE, why=f"store refused: {code}")
--- a/archhatch/diagnostics/doctor.py
+++ b/archhatch/diagnostics/doctor.py
@@ -25,10 +25,10 @@
     what: str
 
 
-def check(fn):
+def check(function):
     """Register a check: an async method that gives findings."""
-    CHECKS.append(fn)
-    return fn
+    CHECKS.append(function)
+    return function
 
 
 def report(findings: list, as_json: bool) -> str:
@@ -52,62 +52,62 @@
     >>> # findings = await Doctor("settings.json").run()
     """
 
-    def __init__(self, path: str | None, secs: float = 1.0):
-        self.path, self.secs = path, secs
-        self.boot = None
+    def __init__(self, path: str | None, timeout_s: float = 1.0):
+        self.path, self.seconds = path, timeout_s
+        self.settings = None
         self.told: dict[str, dict] = {}
 
     async def run(self) -> list[Finding]:
         try:
-            self.boot = read_settings(self.path)
+            self.settings = read_settings(self.path)
         except SettingsError as e:
             return [Finding(6001, e.field, str(e))]
         found: list[Finding] = []
-        for fn in CHECKS:
-            found += await fn(self)
+        for function in CHECKS:
+            found += await function(self)
         return found
 
     @check
     async def _settings(self) -> list:
-        boot, out = self.boot, []
-        for name, addr in boot.listen.items():
-            if addr.rsplit(":", 1)[0] not in (boot.ip, "0.0.0.0"):
-                out.append(Finding(6002, f"Bindings.{name}", f"{addr} is not on this machine ({boot.ip})"))
-            if boot.ports[0] <= int(addr.rsplit(":", 1)[1]) <= boot.ports[1]:
-                out.append(Finding(6002, f"Bindings.{name}", f"{addr} lies within InternalPorts"))
-        if not boot.seeds:
+        settings, out = self.settings, []
+        for name, address in settings.listen.items():
+            if address.rsplit(":", 1)[0] not in (settings.ip, "0.0.0.0"):
+                out.append(Finding(6002, f"Bindings.{name}", f"{address} is not on this machine ({settings.ip})"))
+            if settings.ports[0] <= int(address.rsplit(":", 1)[1]) <= settings.ports[1]:
+                out.append(Finding(6002, f"Bindings.{name}", f"{address} lies within InternalPorts"))
+        if not settings.seeds:
             out.append(Finding(6003, "SeedPeers", "is empty: this node finds nobody"))
-        if len(set(boot.seeds)) < len(boot.seeds):
+        if len(set(settings.seeds)) < len(settings.seeds):
             out.append(Finding(6003, "SeedPeers", "names one address twice"))
-        if boot.klass in ("core", "storage") and not boot.data_dir:
+        if settings.klass in ("core", "storage") and not settings.data_dir:
             out.append(
-                Finding(6008, "DataDir", f"is missing on a {boot.klass} machine: nothing would outlive a restart")
+                Finding(6008, "DataDir", f"is missing on a {settings.klass} machine: nothing would outlive a restart")
             )
-        if boot.secs("ConvergeMs") < boot.secs("ContactMs", 1 / 3):
+        if settings.seconds("ConvergeMs") < settings.seconds("ContactMs", 1 / 3):
             out.append(Finding(6002, "Bounds.ConvergeMs", "is under a third of ContactMs: news may come too late"))
         return out
 
     @check
     async def _disk(self) -> list:
-        boot, out = self.boot, []
-        if not boot.data_dir:
+        settings, out = self.settings, []
+        if not settings.data_dir:
             return out
-        if not os.path.isdir(boot.data_dir):
-            return [Finding(6008, boot.data_dir, "is no folder")]
-        if not os.access(boot.data_dir, os.W_OK):
-            out.append(Finding(6008, boot.data_dir, "cannot be written"))
+        if not os.path.isdir(settings.data_dir):
+            return [Finding(6008, settings.data_dir, "is no folder")]
+        if not os.access(settings.data_dir, os.W_OK):
+            out.append(Finding(6008, settings.data_dir, "cannot be written"))
         try:
-            names = os.listdir(boot.data_dir)
-            used = sum(os.path.getsize(os.path.join(boot.data_dir, n)) for n in names)
-            free = shutil.disk_usage(boot.data_dir).free
+            names = os.listdir(settings.data_dir)
+            used = sum(os.path.getsize(os.path.join(settings.data_dir, n)) for n in names)
+            free = shutil.disk_usage(settings.data_dir).free
         except OSError as e:
-            return out + [Finding(6008, boot.data_dir, str(e))]
-        if boot.disk_mb and used > boot.disk_mb * 1e6 * FULL:
-            out.append(Finding(6007, boot.data_dir, f"{used / 1e6:.0f} of {boot.disk_mb} MB are used"))
+            return out + [Finding(6008, settings.data_dir, str(e))]
+        if settings.disk_mb and used > settings.disk_mb * 1e6 * FULL:
+            out.append(Finding(6007, settings.data_dir, f"{used / 1e6:.0f} of {settings.disk_mb} MB are used"))
         elif free < 1e6:
-            out.append(Finding(6007, boot.data_dir, f"{free} bytes are free"))
+            out.append(Finding(6007, settings.data_dir, f"{free} bytes are free"))
         for name in sorted(names):
-            out += self._book(os.path.join(boot.data_dir, name), name)
+            out += self._book(os.path.join(settings.data_dir, name), name)
         return out
 
     def _book(self, path: str, name: str) -> list:
@@ -120,39 +120,39 @@
                 data = f.read()
         except OSError as e:
             return [Finding(6006, path, str(e))]
-        recs, end, behind = read_records(data)
+        records, end, behind = read_records(data)
         if behind:
             return [Finding(6006, path, f"damage at byte {end}, good records behind it")]
         if end < len(data):
             return [
-                Finding(6006, path, f"{len(data) - end} torn bytes behind record {len(recs)}; cut at the next start")
+                Finding(6006, path, f"{len(data) - end} torn bytes behind record {len(records)}; cut at the next start")
             ]
         return []
 
     @check
     async def _seeds(self) -> list:
         out, lines = [], ConnectionPool(Counters())
-        for seed in self.boot.seeds:
-            addr = f"{seed.rsplit(':', 1)[0]}:{self.boot.ports[0]}"
+        for seed in self.settings.seeds:
+            address = f"{seed.rsplit(':', 1)[0]}:{self.settings.ports[0]}"
             try:
-                code, doc, _ = await lines.to(addr).call("fitness", {}, secs=self.secs)
+                code, doc, _ = await lines.to(address).call("fitness", {}, timeout_s=self.seconds)
                 if code != 1000:
-                    out.append(Finding(6004, addr, f"answers with code {code}"))
+                    out.append(Finding(6004, address, f"answers with code {code}"))
                 else:
-                    self.told[addr] = doc
+                    self.told[address] = doc
             except CallError as e:
-                out.append(Finding(6004, addr, str(e)))
+                out.append(Finding(6004, address, str(e)))
         lines.end()
         return out
 
     @check
     async def _agreement(self) -> list:
         out = []
-        for addr, doc in self.told.items():
+        for address, doc in self.told.items():
             if not doc["in_touch"]:
-                out.append(Finding(6005, addr, f"reaches {doc['up']} of {doc['voters']} voters"))
+                out.append(Finding(6005, address, f"reaches {doc['up']} of {doc['voters']} voters"))
             if doc["damaged"]:
-                out.append(Finding(6006, addr, "its write-ahead log was damaged when it started"))
+                out.append(Finding(6006, address, "its write-ahead log was damaged when it started"))
         for part in sorted({p for d in self.told.values() for p in d["stamps"]}):
             seen = {a: d["stamps"].get(part, 0) for a, d in self.told.items()}
             if len(set(seen.values())) > 1:
--- a/archhatch/diagnostics/importer.py
+++ b/archhatch/diagnostics/importer.py
@@ -78,11 +78,11 @@
         except InvalidConfigError as e:
             raise ConfigImportError(f"{self.path}: {e}") from e
 
-    def _walk(self, rows, fn) -> None:
+    def _walk(self, rows, function) -> None:
         for row in rows:
-            fn(row)
+            function(row)
             if row["directive"] == "http":
-                self._walk(row["block"], fn)
+                self._walk(row["block"], function)
 
     def _note(self, row, why: str) -> None:
         self.notes.append(f"{row.get('file', self.path)}:{row['line']}: {row['directive']}: {why}")
@@ -119,11 +119,11 @@
 
     def _limit(self, row) -> None:
         field, kind = LIMITS[row["directive"]]
-        val = _size(row["args"][0]) if kind == "size" else _time(row["args"][0])
-        if not val:
+        value = _size(row["args"][0]) if kind == "size" else _time(row["args"][0])
+        if not value:
             self._note(row, f"{row['args'][0]} is no limit here")
         else:
-            self.limits[field] = val
+            self.limits[field] = value
 
     def _location(self, row, hosts: list) -> None:
         args = [a for a in row["args"] if a != "^~"]
@@ -132,20 +132,20 @@
             return
         out = {"RouteClass": "non_idempotent", "TimeoutMs": 60_000, "MaxAttempts": 1}
         for sub in row["block"]:
-            name, val = sub["directive"], sub["args"]
+            name, value = sub["directive"], sub["args"]
             if name == "proxy_pass":
-                hit = re.fullmatch(r"http://([^/:]+)/?", val[0])
+                hit = re.fullmatch(r"http://([^/:]+)/?", value[0])
                 if hit is None or hit.group(1) not in self.services:
-                    self._note(sub, f"{val[0]} names no upstream of this file")
-                elif val[0].endswith("/"):
+                    self._note(sub, f"{value[0]} names no upstream of this file")
+                elif value[0].endswith("/"):
                     self._note(sub, "changes paths, which are passed on unaltered here")
                 else:
                     out["Service"] = hit.group(1)
             elif name == "proxy_read_timeout":
-                out["TimeoutMs"] = _time(val[0]) or out["TimeoutMs"]
-            elif name == "proxy_next_upstream_tries" and val[0].isdigit() and int(val[0]):
-                out["MaxAttempts"] = int(val[0])
-            elif name == "proxy_next_upstream" and "non_idempotent" in val:
+                out["TimeoutMs"] = _time(value[0]) or out["TimeoutMs"]
+            elif name == "proxy_next_upstream_tries" and value[0].isdigit() and int(value[0]):
+                out["MaxAttempts"] = int(value[0])
+            elif name == "proxy_next_upstream" and "non_idempotent" in value:
                 out["RouteClass"] = "idempotent"
             else:
                 self._note(sub, "is not carried over")
--- a/archhatch/evacuation/commands.py
+++ b/archhatch/evacuation/commands.py
@@ -53,9 +53,9 @@
     return [rule for rule in policy["rules"] if rule.get("tenant") == tenant]
 
 
-def _refusal(val: dict, plan: dict) -> tuple | None:
+def _refusal(value: dict, plan: dict) -> tuple | None:
     """Why a plan cannot be taken: (code, words); None if it can."""
-    policy = val.get("policy")
+    policy = value.get("policy")
     if policy is None:
         return NO_POLICY, None
     rules = _rules_of(policy, plan["Tenant"])
@@ -69,27 +69,27 @@
             if region not in rule["regions"]:
                 return NOT_ALLOWED, f"rule {rule['name']} does not allow {region}"
     names = {rule["name"] for rule in rules}
-    for name, record in val.get("evacuations", {}).items():
+    for name, record in value.get("evacuations", {}).items():
         if record["state"] not in FINAL and names & set(record["rules"]):
             return OVERLAPS, name
     return None
 
 
 @commands.on("evacuation.plan")
-def evacuation_plan(val, args):
+def evacuation_plan(value, args):
     """Take a checked plan: {"plan", "dry_run"}."""
-    plan, table = args["plan"], val.get("evacuations", {})
+    plan, table = args["plan"], value.get("evacuations", {})
     old = table.get(plan["Id"])
     if old is not None:
         same = old["mark"] == mark(plan)
         return (DONE if same else OTHER_PLAN), view(old), False
-    refusal = _refusal(val, plan)
+    refusal = _refusal(value, plan)
     if refusal is not None:
         return (*refusal, False)
     record = {
         "plan": plan,
         "mark": mark(plan),
-        "rules": [rule["name"] for rule in _rules_of(val["policy"], plan["Tenant"])],
+        "rules": [rule["name"] for rule in _rules_of(value["policy"], plan["Tenant"])],
         "origin": plan["Origin"],
         "target": plan["Target"],
         "placed": Place.ORIGIN,
@@ -100,20 +100,20 @@
     }
     _log(record, EvacuationState.PLANNED, OPERATOR, plan["Reason"])
     if not args.get("dry_run"):
-        val.setdefault("evacuations", {})[plan["Id"]] = record
-        _forget_old(val)
+        value.setdefault("evacuations", {})[plan["Id"]] = record
+        _forget_old(value)
     return DONE, view(record), not args.get("dry_run")
 
 
-def _forget_old(val: dict) -> None:
-    over = [name for name, record in val["evacuations"].items() if record["state"] in FINAL]
+def _forget_old(value: dict) -> None:
+    over = [name for name, record in value["evacuations"].items() if record["state"] in FINAL]
     for name in over[: max(0, len(over) - KEEP_FINAL)]:
-        del val["evacuations"][name]
+        del value["evacuations"][name]
 
 
-def _by_operator(val: dict, args: dict, moves: dict, done: frozenset):
+def _by_operator(value: dict, args: dict, moves: dict, done: frozenset):
     """An operator's order: moves names the state that follows each in which it may come."""
-    record = val.get("evacuations", {}).get(args["id"])
+    record = value.get("evacuations", {}).get(args["id"])
     if record is None:
         return UNKNOWN, args["id"], False
     state = EvacuationState(record["state"])
@@ -127,40 +127,40 @@
 
 
 @commands.on("evacuation.start")
-def evacuation_start(val, args):
+def evacuation_start(value, args):
     """Begin with what was planned: {"id"}."""
     done = frozenset(EvacuationState) - {EvacuationState.PLANNED, EvacuationState.CANCELLED, EvacuationState.FAILED}
-    return _by_operator(val, args, {EvacuationState.PLANNED: EvacuationState.ANNOUNCED}, done)
+    return _by_operator(value, args, {EvacuationState.PLANNED: EvacuationState.ANNOUNCED}, done)
 
 
 @commands.on("evacuation.cancel")
-def evacuation_cancel(val, args):
+def evacuation_cancel(value, args):
     """Give it up: {"id", "why"}. What is already moving goes home first; what has moved returns by another
     order."""
-    record = val.get("evacuations", {}).get(args["id"])
+    record = value.get("evacuations", {}).get(args["id"])
     moves = {state: EvacuationState.CANCELLED for state in BEFORE_MOVE} | {
         EvacuationState.MOVING: EvacuationState.RETURNING
     }
     done = {EvacuationState.CANCELLED}
     if record is not None and record.get("outcome") == EvacuationState.CANCELLED:
         done.add(EvacuationState.RETURNING)
-    out = _by_operator(val, args, moves, frozenset(done))
+    out = _by_operator(value, args, moves, frozenset(done))
     if out[2] and record["state"] == EvacuationState.RETURNING:
         record["outcome"] = EvacuationState.CANCELLED
     return out
 
 
 @commands.on("evacuation.return")
-def evacuation_return(val, args):
+def evacuation_return(value, args):
     """Bring the tenant home: {"id", "why"}."""
     done = frozenset({EvacuationState.RETURNING, EvacuationState.RETURNED})
-    return _by_operator(val, args, {EvacuationState.MOVED: EvacuationState.RETURNING}, done)
+    return _by_operator(value, args, {EvacuationState.MOVED: EvacuationState.RETURNING}, done)
 
 
 @commands.on("evacuation.get")
-def evacuation_get(val, args):
+def evacuation_get(value, args):
     """One record, or all: {"id"?}."""
-    table = val.get("evacuations", {})
+    table = value.get("evacuations", {})
     if args.get("id") is None:
         return DONE, {"EvacuationTable": [view(record) for record in table.values()]}, False
     if args["id"] not in table:
@@ -171,19 +171,19 @@
 # -- the holder of the duty
 
 
-def _held(val: dict, args: dict):
+def _held(value: dict, args: dict):
     """The record, if the duty is still held under the term of the command; else a refusal."""
-    if not held_under(val, DUTY, args["term"]):
+    if not held_under(value, DUTY, args["term"]):
         return None, (OTHER_TERM, DUTY, False)
-    record = val.get("evacuations", {}).get(args["id"])
+    record = value.get("evacuations", {}).get(args["id"])
     return record, None if record is not None else (UNKNOWN, args["id"], False)
 
 
 @commands.on("evacuation.step")
-def evacuation_step(val, args):
+def evacuation_step(value, args):
     """The holder's step from the state and the place that it saw: {"id", "term", "from", "placed", "to", "why",
     "age_s"}."""
-    record, refusal = _held(val, args)
+    record, refusal = _held(value, args)
     if refusal is not None:
         return refusal
     placed = STEPS.get((EvacuationState(args["from"]), Place(args["placed"]), EvacuationState(args["to"])))
@@ -203,9 +203,9 @@
 
 
 @commands.on("evacuation.age")
-def evacuation_age(val, args):
+def evacuation_age(value, args):
     """How old the record is, so that no holder begins from nothing: {"id", "term", "age_s"}."""
-    record, refusal = _held(val, args)
+    record, refusal = _held(value, args)
     if refusal is not None:
         return refusal
     _count(record, args)
@@ -213,9 +213,9 @@
 
 
 @commands.on("evacuation.notice")
-def evacuation_notice(val, args):
+def evacuation_notice(value, args):
     """How far the tenant has been told: {"id", "term", "kind", "word"}."""
-    record, refusal = _held(val, args)
+    record, refusal = _held(value, args)
     if refusal is not None:
         return refusal
     before = record["notices"].get(args["kind"])
@@ -229,13 +229,13 @@
 
 
 @commands.on("evacuation.report")
-def evacuation_report(val, args):
+def evacuation_report(value, args):
     """A run's holder says how far its run is: {"id", "run", "run_term", "state", "placed", "copied", "drained"}."""
-    record = val.get("evacuations", {}).get(args["id"])
+    record = value.get("evacuations", {}).get(args["id"])
     if record is None:
         return UNKNOWN, args["id"], False
-    if args["run_term"] < begun(val, args["run"]):
-        return OTHER_TERM, begun(val, args["run"]), False
+    if args["run_term"] < begun(value, args["run"]):
+        return OTHER_TERM, begun(value, args["run"]), False
     if (record["state"], record["placed"]) != (args["state"], args["placed"]):
         return WRONG_STATE, f"it is {record['state']}", False
     row = {"term": args["run_term"], "copied": bool(args["copied"]), "drained": bool(args["drained"])}
@@ -244,7 +244,7 @@
     return DONE, None, changed
 
 
-def feed_view(val: dict) -> dict:
+def feed_view(value: dict) -> dict:
     """What other nodes need of the records: those that are not over.
 
     >>> feed_view({})
@@ -252,7 +252,7 @@
     """
     rows = {
         name: {key: record[key] for key in ("rules", "origin", "target", "state", "placed")}
-        for name, record in val.get("evacuations", {}).items()
+        for name, record in value.get("evacuations", {}).items()
         if record["state"] not in FINAL
     }
     return {"evacuations": rows} if rows else {}
