--- a/archhatch/evacuation/controller.py
+++ b/archhatch/evacuation/controller.py
@@ -25,11 +25,11 @@
 class EvacuationController:
     """run() drives records while there are any that are not over; without one it sleeps until the register changes.
 
-    >>> # duty = EvacuationController(node, "plan"); crew.keep("evacuation", duty.run)
+    >>> # duty = EvacuationController(node, "plan"); task_group.keep("evacuation", duty.run)
     """
 
-    def __init__(self, node, part: str):
-        self.node, self.part = node, part
+    def __init__(self, node, shard: str):
+        self.node, self.shard = node, shard
         self.placement = Placement()
         self._term: int | None = None
         self._since: dict[tuple, float] = {}  # (evacuation, state, place) -> when this holder first saw it there
@@ -40,7 +40,7 @@
     # -- what is known
 
     def _val(self) -> dict:
-        return (self.node.known.get(self.part) or {"val": {}})["val"]
+        return (self.node.known.get(self.shard) or {"val": {}})["val"]
 
     def _open(self) -> dict:
         return {n: r for n, r in self._val().get("evacuations", {}).items() if r["state"] not in FINAL}
@@ -54,18 +54,18 @@
         return out
 
     def _needs(self, rules: list) -> Needs:
-        val = self._val()
-        self.placement.fold(val)
-        return Needs.of(RoutingTable(val["plan"]), self.placement, rules)
+        value = self._val()
+        self.placement.fold(value)
+        return Needs.of(RoutingTable(value["plan"]), self.placement, rules)
 
     def lacks(self, plan: dict, rules: list) -> list:
         """What a plan's target lacks now, in words."""
-        val, node = self._val(), self.node
-        if "plan" not in val:
+        value, node = self._val(), self.node
+        if "plan" not in value:
             return ["there is no configuration yet"]
         needs = self._needs(rules)
-        members = active(val.get("stores", {}))
-        return lacks(needs, plan, self.placement.region_of, list(node.roll.all.values()), members, node.quorum)
+        members = active(value.get("stores", {}))
+        return lacks(needs, plan, self.placement.region_of, list(node.registry.all.values()), members, node.quorum)
 
     # -- driving
 
@@ -73,16 +73,16 @@
         """Look at all records again and again while this node owns the register."""
         node = self.node
         while True:
-            turn = node.board.turn("plan")
+            turn = node.state_board.turn("plan")
             if not self._open():
                 self._since.clear()
-                await node.board.news("plan", turn)
+                await node.state_board.wait_for_change("plan", turn)
                 continue
-            if node.in_touch() and node.owns(self.part) and "plan" in self._val():
+            if node.in_touch() and node.owns(self.shard) and "plan" in self._val():
                 await self.tend()
             else:
                 self._term = None
-            await node.board.news("plan", turn, node.beat_s)
+            await node.state_board.wait_for_change("plan", turn, node.heartbeat_interval_s)
 
     async def tend(self) -> None:
         """One look at all records, under the duty's lease."""
@@ -98,11 +98,11 @@
         """Take the duty's lease, unless this life of this node has it."""
         node = self.node
         lease = self._val().get("leases", {}).get(DUTY)
-        if lease and (lease["holder"], lease["life"]) == (node.id, node.life):
+        if lease and (lease["holder"], lease["life"]) == (node.id, node.incarnation):
             self._term = lease["term"]
             return True
-        args = {"duty": DUTY, "holder": node.id, "life": node.life, "seen": lease["term"] if lease else 0}
-        code, lease = await node.try_command(self.part, "lease.claim", args)
+        args = {"duty": DUTY, "holder": node.id, "life": node.incarnation, "seen": lease["term"] if lease else 0}
+        code, lease = await node.try_command(self.shard, "lease.claim", args)
         if code != 1000:
             return False
         self._term = lease["term"]
@@ -133,9 +133,9 @@
             "why": why,
             "age_s": self._age(name, record),
         }
-        code, _ = await self.node.try_command(self.part, "evacuation.step", args)
+        code, _ = await self.node.try_command(self.shard, "evacuation.step", args)
         if code == 1000:
-            self.node.ctr.add(f"evacuation.{to}")
+            self.node.counters.add(f"evacuation.{to}")
             self.node.log.info("evacuation {}: {} -> {}: {}", name, record["state"], to, why)
 
     def _age(self, name: str, record: dict) -> float:
@@ -148,7 +148,7 @@
         age = self._age(name, record)
         if age - record["age_s"] >= AGE_STEP_S:
             args = {"id": name, "term": self._term, "age_s": age}
-            await self.node.try_command(self.part, "evacuation.age", args)
+            await self.node.try_command(self.shard, "evacuation.age", args)
 
     def _late(self, name: str, record: dict) -> bool:
         """Whether its deadline has passed."""
@@ -182,7 +182,7 @@
         if await self._lacks_room(name, record):
             return
         needs = self._needs(record["rules"])
-        replicas = list(self.node.roll.all.values())
+        replicas = list(self.node.registry.all.values())
         cold = unloaded(needs, record["plan"]["Target"], self.placement.region_of, replicas, self._named())
         if not cold and not self._missing(record, "copied"):
             await self._step(name, record, EvacuationState.MOVING, "copies and weights are in the target")
@@ -197,7 +197,7 @@
             self._lacking_since.pop(name, None)
             return False
         since = self._lacking_since.setdefault(name, now)
-        if now - since >= self.node.boot.secs("ContactMs", PATIENCE):
+        if now - since >= self.node.settings.seconds("ContactMs", PATIENCE):
             await self._step(name, record, EvacuationState.FAILED, "; ".join(missing))
         return True
 
@@ -220,12 +220,12 @@
     def _missing(self, record: dict, what: str) -> list:
         """The tenant's runs whose present holder has not said that it is so far; a run that never began needs
         nothing."""
-        val, reports = self._val(), record["reports"]
+        value, reports = self._val(), record["reports"]
         needs = self._needs(record["rules"])
         return [
             run
             for run in sorted(needs.runs)
-            if begun(val, run) and not (reports.get(run, {}).get(what) and reports[run]["term"] >= begun(val, run))
+            if begun(value, run) and not (reports.get(run, {}).get(what) and reports[run]["term"] >= begun(value, run))
         ]
 
     def _waits_for(self, record: dict, what: str) -> str:
@@ -235,7 +235,7 @@
         """Whether all that ran in the old place has ended: each node knows of the move within ConvergeMs, and what was
         sent before that ends within its time-out; of lots the runs' holders say so."""
         longest = self._needs(record["rules"]).longest_s
-        live_s = self.node.boot.secs("ConvergeMs") + min(longest, self.node.boot.secs("StatusS"))
+        live_s = self.node.settings.seconds("ConvergeMs") + min(longest, self.node.settings.seconds("StatusS"))
         return here_s >= live_s and not self._missing(record, "drained")
 
     def _told(self, name: str, record: dict, kind: str, here_s: float) -> bool:
@@ -246,16 +246,16 @@
         key = (name, kind)
         task = self._sending.get(key)
         if task is None or task.done():
-            self._sending[key] = self.node.crew.once("notice", self._send, name, plan, kind)
+            self._sending[key] = self.node.task_group.once("notice", self._send, name, plan, kind)
         if plan["NoticeWait"] == "term" and here_s >= plan["NoticeTermS"]:
-            self.node.crew.once("notice", self._note, name, kind, TERM_OVER)
+            self.node.task_group.once("notice", self._note, name, kind, TERM_OVER)
         return False
 
     async def _send(self, name: str, plan: dict, kind: str) -> None:
         from .notices import NotAcknowledgedError, Notice  # a process that drives no evacuation needs no retry library
 
         node = self.node
-        if not node.boot.notice_key:
+        if not node.settings.notice_key:
             await self._note(name, kind, NO_KEY)
             await asyncio.sleep(node.quiet_s)
             return
@@ -264,19 +264,19 @@
             "Kind": kind,
             **{k: plan[k] for k in ("Tenant", "Origin", "Target", "Reason", "StartAfterS")},
         }
-        notice = Notice(plan["NoticeUrl"], node.boot.notice_key, doc, first_pause_s=node.beat_s)
+        notice = Notice(plan["NoticeUrl"], node.settings.notice_key, doc, first_pause_s=node.heartbeat_interval_s)
         try:
             await notice.send(max(node.quiet_s, plan["NoticeTermS"]))
         except NotAcknowledgedError as e:
-            node.ctr.add("notice.failed")
+            node.counters.add("notice.failed")
             node.log.warning("notice {} was not acknowledged: {}", notice.name, e)
             await self._note(name, kind, FAILED)
             return
-        node.ctr.add("notice.acknowledged")
+        node.counters.add("notice.acknowledged")
         await self._note(name, kind, ACKNOWLEDGED)
 
     async def _note(self, name: str, kind: str, word: str) -> None:
         if self._term is None:
             return
         args = {"id": name, "term": self._term, "kind": kind, "word": word}
-        await self.node.try_command(self.part, "evacuation.notice", args)
+        await self.node.try_command(self.shard, "evacuation.notice", args)
--- a/archhatch/evacuation/notices.py
+++ b/archhatch/evacuation/notices.py
@@ -68,10 +68,10 @@
 
     async def _try(self, session, body: bytes, heads: dict) -> None:
         self.tries += 1
-        async with session.post(self.url, data=body, headers=heads, allow_redirects=False) as resp:
-            await resp.read()
-            if not 200 <= resp.status < 300:
-                raise NotAcknowledgedError(f"status {resp.status}")
+        async with session.post(self.url, data=body, headers=heads, allow_redirects=False) as response:
+            await response.read()
+            if not 200 <= response.status < 300:
+                raise NotAcknowledgedError(f"status {response.status}")
 
     def _connector(self) -> aiohttp.TCPConnector:
         if not self.url.startswith("https:"):
--- a/archhatch/evacuation/plans.py
+++ b/archhatch/evacuation/plans.py
@@ -21,17 +21,17 @@
 
 
 class _Name(fields.String):
-    def __init__(self, **kw):
+    def __init__(self, **kwargs):
         super().__init__(
-            validate=validate.Regexp(r"[A-Za-z0-9._-]{1,64}\Z", error="must be 1 to 64 of A-Z a-z 0-9 . _ -"), **kw
+            validate=validate.Regexp(r"[A-Za-z0-9._-]{1,64}\Z", error="must be 1 to 64 of A-Z a-z 0-9 . _ -"), **kwargs
         )
 
 
 class _Number(fields.Float):
-    def _deserialize(self, value, attr, data, **kw):
+    def _deserialize(self, value, attr, data, **kwargs):
         if isinstance(value, bool) or not isinstance(value, (int, float)):
             raise ValidationError("must be a number")
-        return super()._deserialize(value, attr, data, **kw)
+        return super()._deserialize(value, attr, data, **kwargs)
 
 
 class PlanSchema(Schema):
@@ -50,7 +50,7 @@
     Room = _Number(load_default=1.0, validate=validate.Range(min=0, max=10))
 
     @validates("NoticeUrl")
-    def _url(self, value, **kw):
+    def _url(self, value, **kwargs):
         try:
             url = urlsplit(value)
             sound = url.scheme in ("http", "https") and url.hostname and (url.port is None or url.port > 0)
@@ -60,7 +60,7 @@
             raise ValidationError("must be an http or https URL")
 
     @validates_schema
-    def _places(self, data, **kw):
+    def _places(self, data, **kwargs):
         if data.get("Origin") is not None and data.get("Origin") == data.get("Target"):
             raise ValidationError("is the origin", "Target")
 
--- a/archhatch/evacuation/target_capacity.py
+++ b/archhatch/evacuation/target_capacity.py
@@ -20,16 +20,16 @@
     def of(cls, plan, placement, rules: list) -> Needs:
         """From the configuration and the policy: the lanes that one of these rules binds."""
         services, runs, longest = set(), set(), 0.0
-        for lane in plan.lanes():
-            rule = placement.rule(lane)
+        for route in plan.routes():
+            rule = placement.rule(route)
             if rule is None or rule.name not in rules:
                 continue
-            names = {service for service, _ in lane.split}
+            names = {service for service, _ in route.split}
             services |= names
-            if lane.kind in ROLLOUTS:
+            if route.kind in ROLLOUTS:
                 runs |= names
             else:
-                longest = max(longest, lane.timeout_s)
+                longest = max(longest, route.timeout_s)
         models = {model: service for model, service in plan.models().items() if service in runs}
         return cls(frozenset(services), frozenset(runs), models, longest)
 
--- a/archhatch/http_server/server.py
+++ b/archhatch/http_server/server.py
@@ -26,8 +26,8 @@
 
     __slots__ = ("opened", "head_since", "waiting")
 
-    def __init__(self, *args, **kw):
-        super().__init__(*args, **kw)
+    def __init__(self, *args, **kwargs):
+        super().__init__(*args, **kwargs)
         self.opened = asyncio.get_running_loop().time()
         self.head_since, self.waiting = None, True
 
@@ -47,11 +47,11 @@
 
     cancel_on_disconnect: a handler whose client has closed the connection is cancelled.
 
-    >>> # win = HttpServer(handler, log, ctr); await win.open("10.0.0.1:8144"); await win.close(grace_s=6)
+    >>> # win = HttpServer(handler, log, counters); await win.open("10.0.0.1:8144"); await win.close(grace_s=6)
     """
 
-    def __init__(self, handler, log, ctr, limits=None, cancel_on_disconnect=False):
-        self.handler, self.log, self.ctr = handler, log, ctr
+    def __init__(self, handler, log, counters, limits=None, cancel_on_disconnect=False):
+        self.handler, self.log, self.counters = handler, log, counters
         self.cancel_on_disconnect = cancel_on_disconnect
         self.limits = {} if limits is None else limits
         self.leaving = False
@@ -62,9 +62,9 @@
         cap = int(self.limits.get("MaxBodyBytes", 32 << 20))
         return BaseRequest(message, payload, protocol, writer, task, asyncio.get_running_loop(), client_max_size=cap)
 
-    async def open(self, addr: str, sock=None) -> None:
+    async def open(self, address: str, sock=None) -> None:
         """Serve on an address, or on a socket that listens already."""
-        host, port = addr.rsplit(":", 1)
+        host, port = address.rsplit(":", 1)
         where = {"sock": sock} if sock is not None else {"host": host, "port": int(port), "reuse_address": True}
         self._srv = _Server(
             self._serve,
@@ -93,50 +93,53 @@
                 if not guest.waiting or guest.transport is None:
                     continue
                 if guest.head_since is not None and now - guest.head_since > head_s:
-                    self.ctr.add("http.slow_head")
+                    self.counters.add("http.slow_head")
                     guest.transport.write(SLOW)
                     guest.transport.close()
                 elif guest.head_since is None and guest.opened is not None and now - guest.opened > idle_s:
-                    self.ctr.add("http.idle")
+                    self.counters.add("http.idle")
                     guest.transport.close()
 
     def port(self) -> int:
         return self._site.sockets[0].getsockname()[1]
 
-    async def _serve(self, req: BaseRequest):
+    async def _serve(self, request: BaseRequest):
         self.under_way += 1
-        guest = req.protocol
+        guest = request.protocol
         guest.waiting, guest.head_since, guest.opened = False, None, None
         try:
             try:
-                if req.headers.get("Expect", "").lower() == "100-continue" and req.version >= HttpVersion11:
-                    await req.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+                if request.headers.get("Expect", "").lower() == "100-continue" and request.version >= HttpVersion11:
+                    await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
                 cap = self.limits.get("MaxHeaderBytes")
-                if cap is not None and sum(len(k) + len(v) + 4 for k, v in req.raw_headers) + len(req.raw_path) > cap:
+                if (
+                    cap is not None
+                    and sum(len(k) + len(v) + 4 for k, v in request.raw_headers) + len(request.raw_path) > cap
+                ):
                     res = error_result(2017)
                     res.close = True
-                    return await self._write(req, res)
-                body = await self._body(req)
-                res = await self.handler(req, body)
+                    return await self._write(request, res)
+                body = await self._body(request)
+                res = await self.handler(request, body)
             except HTTPRequestEntityTooLarge:
                 res = error_result(2012)
                 res.close = True
             if isinstance(res, StreamResponse):
                 return res
-            return await self._write(req, res)
+            return await self._write(request, res)
         finally:
             self.under_way -= 1
             guest.waiting = True
 
-    async def _body(self, req) -> bytes:
-        if not req.body_exists:
+    async def _body(self, request) -> bytes:
+        if not request.body_exists:
             return b""
         cap = int(self.limits.get("MaxBodyBytes", 32 << 20))
-        if req.content_length is not None and req.content_length > cap:
-            raise HTTPRequestEntityTooLarge(cap, req.content_length)
-        return await req.read()
+        if request.content_length is not None and request.content_length > cap:
+            raise HTTPRequestEntityTooLarge(cap, request.content_length)
+        return await request.read()
 
-    async def _write(self, req, res: Result):
+    async def _write(self, request, res: Result):
         out = Response(status=res.status, body=res.body, headers=res.head)
         if self.leaving or res.close:
             out.force_close()
@@ -165,10 +168,10 @@
     info = debug
 
     def error(self, msg, *a, **k):
-        self.win.ctr.add("http.error")
+        self.win.counters.add("http.error")
 
     def exception(self, msg, *a, exc_info=None, **k):
-        self.win.ctr.add("http.fault")
+        self.win.counters.add("http.fault")
         self.win.log.opt(exception=exc_info or True).error("http: {}", msg % a if a else msg)
 
     warning = error
--- a/archhatch/jobs/batch_job.py
+++ b/archhatch/jobs/batch_job.py
@@ -39,22 +39,22 @@
         raise InvalidJobError(why)
 
 
-def _payload(val, where: str) -> None:
-    _need(isinstance(val, str), f"{where}: Payload must be base64 text")
+def _payload(value, where: str) -> None:
+    _need(isinstance(value, str), f"{where}: Payload must be base64 text")
     try:
-        base64.b64decode(val, validate=True)
+        base64.b64decode(value, validate=True)
     except (binascii.Error, ValueError) as e:
         raise InvalidJobError(f"{where}: Payload: {e}") from e
 
 
-def check_job(lid: str, body: bytes) -> str:
+def check_job(job_id: str, body: bytes) -> str:
     """The model of a lot whose bytes are whole and sound; InvalidJobError otherwise.
 
     >>> try: check_job("a", b"{}")
     ... except InvalidJobError as e: print(e)
     Model must be text
     """
-    _need(bool(lid), "X-Archhatch-Request-Id is missing")
+    _need(bool(job_id), "X-Archhatch-Request-Id is missing")
     return parse_job(body, strict=True).model
 
 
@@ -132,18 +132,18 @@
 
 def _count(doc: dict, name: str, where: str) -> int:
     """A whole number that is not negative; 0 where there is none."""
-    val = doc.get(name)
-    if val is None:
+    value = doc.get(name)
+    if value is None:
         return 0
-    _need(isinstance(val, int) and not isinstance(val, bool) and val >= 0, f"{where} must be a whole number")
-    return val
+    _need(isinstance(value, int) and not isinstance(value, bool) and value >= 0, f"{where} must be a whole number")
+    return value
 
 
 @dataclass
 class BatchJob:
     """A lot in hand: items by id, results by position."""
 
-    lid: str
+    job_id: str
     run: str
     model: str
     host: str
@@ -153,7 +153,7 @@
     want: int
     least: int
     items: dict
-    recs: list = field(default_factory=list)  # every record of it, the lot's own first
+    records: list = field(default_factory=list)  # every record of it, the lot's own first
     results: list = field(default_factory=list)  # R records by position
     listed: int = 0
     done: set = field(default_factory=set)  # items that have a position
@@ -170,14 +170,14 @@
     def page(self, after: int, most: int = PAGE_BYTES) -> tuple[list, int]:
         """Listed results from a position on, up to about most bytes.
 
-        >>> # rows, nxt = lot.page(12)
+        >>> # rows, nxt = batch_job.page(12)
         """
         rows, size = [], 0
-        for rec in self.results[after : self.listed]:
-            if rows and size + len(rec.body) > most:
+        for record in self.results[after : self.listed]:
+            if rows and size + len(record.body) > most:
                 break
-            rows.append(rec.body)
-            size += len(rec.body) + 1
+            rows.append(record.body)
+            size += len(record.body) + 1
         return rows, after + len(rows)
 
 
--- a/archhatch/jobs/quorum.py
+++ b/archhatch/jobs/quorum.py
@@ -28,13 +28,13 @@
     region_of: dict = field(default_factory=dict)  # zone -> region
 
     @classmethod
-    def of(cls, boot) -> Quorum:
+    def of(cls, settings) -> Quorum:
         """As the settings have it.
 
-        >>> # Quorum.of(boot).machines == boot.tolerate
+        >>> # Quorum.of(settings).machines == settings.tolerate
         """
-        regions = boot.zones if boot.tolerate_regions else {}
-        return cls(boot.tolerate, boot.tolerate_zones, boot.tolerate_regions, regions)
+        regions = settings.zones if settings.tolerate_regions else {}
+        return cls(settings.tolerate, settings.tolerate_zones, settings.tolerate_regions, regions)
 
     @classmethod
     def read(cls, doc: dict | None) -> Quorum:
--- a/archhatch/jobs/record.py
+++ b/archhatch/jobs/record.py
@@ -54,14 +54,14 @@
         return self.head["term"], self.head["se"]
 
 
-def pack(rec: Record) -> bytes:
+def pack(record: Record) -> bytes:
     """A record as bytes.
 
     >>> unpack(pack(Record({"k": "E"}, b"x"))).body
     b'x'
     """
-    head = orjson.dumps(rec.head)
-    return struct.pack(">I", len(head)) + head + rec.body
+    head = orjson.dumps(record.head)
+    return struct.pack(">I", len(head)) + head + record.body
 
 
 def unpack(raw: bytes) -> Record:
@@ -70,15 +70,15 @@
     return Record(orjson.loads(raw[4 : 4 + n]), bytes(raw[4 + n :]))
 
 
-def pack_many(recs) -> bytes:
+def pack_many(records) -> bytes:
     """Several records, each behind its length.
 
     >>> len(unpack_many(pack_many([Record({"k": "E"}), Record({"k": "E"})])))
     2
     """
     out = []
-    for rec in recs:
-        raw = pack(rec)
+    for record in records:
+        raw = pack(record)
         out.append(struct.pack(">I", len(raw)))
         out.append(raw)
     return b"".join(out)
--- a/archhatch/jobs/record_state.py
+++ b/archhatch/jobs/record_state.py
@@ -22,7 +22,7 @@
     def _clear(self) -> None:
         self.id = ""
         self.promised: dict[str, int] = {}
-        self.lots: dict[str, dict] = {}
+        self.batch_jobs: dict[str, dict] = {}
         self.windows: dict[tuple, list] = {}  # (run, partition) -> its newest snapshot and the deltas behind it
         self.strays: dict[tuple, list] = {}  # (run, partition) -> deltas whose snapshot is not here
         self.ticks: dict[str, tuple] = {}  # run -> the newest (term, seconds of that term) that a record bears
@@ -61,7 +61,7 @@
             return bool(have) and have[0].epoch() >= record.epoch()
         if kind == Kind.UPDATE:
             return self._update_stands(record)
-        entry = self.lots.get(head["lot"])
+        entry = self.batch_jobs.get(head["lot"])
         if entry is None or kind == Kind.ORDER:
             return False
         if kind == Kind.RESULT:
@@ -106,9 +106,9 @@
 
     def _apply_to_lot(self, record: Record) -> None:
         kind, head = record.head["k"], record.head
-        entry = self.lots.get(head["lot"])
+        entry = self.batch_jobs.get(head["lot"])
         if entry is None:
-            entry = self.lots[head["lot"]] = {
+            entry = self.batch_jobs[head["lot"]] = {
                 "run": head["run"],
                 "lot": None,
                 "results": {},
@@ -128,15 +128,19 @@
 
     def told(self, run: str) -> dict:
         """What is here of a run, for its new holder."""
-        lots = {}
-        for lid, entry in self.lots.items():
+        batch_jobs = {}
+        for job_id, entry in self.batch_jobs.items():
             if entry["run"] == run:
                 results = [[pos, r.head["term"], r.head["item"]] for pos, r in entry["results"].items()]
-                lots[lid] = {"lot": entry["lot"] is not None, "end": entry["end"] is not None, "results": results}
+                batch_jobs[job_id] = {
+                    "lot": entry["lot"] is not None,
+                    "end": entry["end"] is not None,
+                    "results": results,
+                }
         now, last = self.clock.now(), self.orders.get(run, {})
         windows = [[r.head, r.body.decode()] for r in self._window_records(run)]
         return {
-            "lots": lots,
+            "lots": batch_jobs,
             "windows": windows,
             "orders": {iid: now - at for iid, at in last.items()},
             "noted": {iid: at for iid, at in self.noted.get(run, {}).items() if iid in last},
@@ -152,12 +156,12 @@
             for record in records
         ]
 
-    def fetch(self, lid: str, poss: list, lot: bool) -> list[Record]:
+    def fetch(self, job_id: str, poss: list, batch_job: bool) -> list[Record]:
         """Records of a lot that are here."""
-        entry = self.lots.get(lid)
+        entry = self.batch_jobs.get(job_id)
         if entry is None:
             return []
-        out = [entry["lot"]] if lot and entry["lot"] is not None else []
+        out = [entry["lot"]] if batch_job and entry["lot"] is not None else []
         if entry["end"] is not None:
             out.append(entry["end"])
         return out + [entry["results"][pos] for pos in poss if pos in entry["results"]]
@@ -170,8 +174,8 @@
         for run, last in self.orders.items():
             self.orders[run] = {iid: at for iid, at in last.items() if now - at <= order_s}
             self.noted[run] = {iid: at for iid, at in self.noted.get(run, {}).items() if iid in self.orders[run]}
-        for lid in lids:
-            self.lots.pop(lid, None)
+        for job_id in lids:
+            self.batch_jobs.pop(job_id, None)
 
     def snapshot(self) -> Iterator[bytes]:
         """All that is kept, for a rewritten log. Gathered now; packed as it is taken, also in another thread."""
@@ -183,10 +187,10 @@
                 at = dict(zip(("term", "t"), noted[iid], strict=True)) if iid in noted else {}
                 heads.append({"k": Kind.ORDER, "lot": "", "run": run, "iid": iid, **at})
         records = [Record(head) for head in heads] + self._window_records()
-        for entry in self.lots.values():
+        for entry in self.batch_jobs.values():
             records += [r for r in (entry["lot"], entry["end"], *entry["results"].values()) if r is not None]
         return (pack(record) for record in records)
 
     def size(self) -> int:
         """Bytes that the lots' records come to."""
-        return sum(entry["bytes"] for entry in self.lots.values())
+        return sum(entry["bytes"] for entry in self.batch_jobs.values())
--- a/archhatch/jobs/record_store.py
+++ b/archhatch/jobs/record_store.py
@@ -46,22 +46,22 @@
     >>> # store = RecordStore(log, clock, counters); store.load(log.load()); taken = await store.append(records)
     """
 
-    def __init__(self, book, clock, ctr):
+    def __init__(self, wal, clock, counters):
         super().__init__(clock)
-        self.book, self.ctr = book, ctr
+        self.wal, self.counters = wal, counters
         self._coming: dict[tuple, _Coming] = {}
-        book.snapshot = self.snapshot
+        wal.snapshot = self.snapshot
 
     # -- identity
 
     async def take_id(self, new: str) -> None:
         """Be known by this id, once it is on the disk."""
-        await self.book.append(pack(Record({"k": Kind.IDENTITY, "id": new})))
+        await self.wal.append(pack(Record({"k": Kind.IDENTITY, "id": new})))
         self.id = new
 
     async def start_over(self, new: str) -> None:
         """Be empty under another id, once the disk is; until then, and after a LogError, all is as before."""
-        await self.book.rewrite(lambda: [pack(Record({"k": Kind.IDENTITY, "id": new}))])
+        await self.wal.rewrite(lambda: [pack(Record({"k": Kind.IDENTITY, "id": new}))])
         self._clear()
         self.id = new
 
@@ -72,7 +72,7 @@
         if term > self.promised.get(run, 0):
             await self._keep(_Entry(term, Record({"k": Kind.PROMISE, "run": run, "term": term})))
         if term < self.promised.get(run, 0):
-            self.ctr.add("shelf.prepare_refused")
+            self.counters.add("shelf.prepare_refused")
             return {"ok": False, "promised": self.promised[run]}
         return {"ok": True, **self.told(run)}
 
@@ -83,11 +83,12 @@
 
     # -- records
 
-    async def append(self, recs: list) -> list:
+    async def append(self, records: list) -> list:
         """Take records, each under its run's term (`by` in its head). For each: True if it, or one as good, is synced
         here; False if its run was promised to a higher term; None if it is a new lot and the disk lacks the room."""
         entries = [
-            _Entry(rec.head["by"], Record({k: v for k, v in rec.head.items() if k != "by"}, rec.body)) for rec in recs
+            _Entry(record.head["by"], Record({k: v for k, v in record.head.items() if k != "by"}, record.body))
+            for record in records
         ]
         verdicts: dict[_Entry, bool | None] = {}
         while len(verdicts) < len(entries):
@@ -108,14 +109,14 @@
         standing = self.standing(entry.record)
         coming = None if standing else self._on_its_way(entry.record)
         if entry.by < promised:
-            self.ctr.add("shelf.stale_term")
+            self.counters.add("shelf.stale_term")
             verdicts[entry] = False
         elif standing and entry.by == promised:
             verdicts[entry] = True
         elif coming:
             writes[coming.write] = True
         elif entry.record.head["k"] == Kind.LOT and not standing and not self.has_room(len(entry.record.body)):
-            self.ctr.add("shelf.no_room")
+            self.counters.add("shelf.no_room")
             verdicts[entry] = None
         else:
             fresh.append(entry)
@@ -137,7 +138,7 @@
 
     def _count_failure(self, write: asyncio.Task) -> None:
         if not write.cancelled() and write.exception() is not None:
-            self.ctr.add("shelf.write_failed")
+            self.counters.add("shelf.write_failed")
 
     async def _carry(self, entries: list[_Entry]) -> list[bool]:
         raws, terms = [], {}
@@ -149,7 +150,7 @@
             if entry.record.head["k"] != Kind.PROMISE and not self.standing(entry.record):
                 raws.append(pack(entry.record))
         try:
-            await self.book.append(*raws)
+            await self.wal.append(*raws)
         finally:
             self._arrived(entries, asyncio.current_task())
         return [self._count(entry) for entry in entries]  # no await in between: the log relies on it
@@ -165,7 +166,7 @@
         """A record is on the disk: from now on it counts, unless its run went to a higher term meanwhile."""
         run = entry.record.head["run"]
         if entry.by < self.promised.get(run, 0):
-            self.ctr.add("shelf.overtaken")
+            self.counters.add("shelf.overtaken")
             return False
         self._promise(run, entry.by)
         if entry.record.head["k"] != Kind.PROMISE and not self.standing(entry.record):
@@ -174,26 +175,26 @@
 
     # -- space
 
-    def admits(self, lid: str, size: int) -> bool:
+    def admits(self, job_id: str, size: int) -> bool:
         """Whether a lot may be taken: it is here or on its way, or there is room for it."""
-        return lid in self.lots or (Kind.LOT, lid) in self._coming or self.has_room(size)
+        return job_id in self.batch_jobs or (Kind.LOT, job_id) in self._coming or self.has_room(size)
 
     def has_room(self, more: int) -> bool:
         """Whether a lot of so many bytes leaves the reserve, and room for a rewrite of all that is kept."""
-        if not self.book.limit_bytes:
+        if not self.wal.limit_bytes:
             return True
-        return self.book.room() - more >= self.book.limit_bytes * RESERVE + self.size() + more
+        return self.wal.room() - more >= self.wal.limit_bytes * RESERVE + self.size() + more
 
     def wants_rewrite(self) -> bool:
         """Whether the log is much longer than what it must keep."""
         ratio = REWRITE_RATIO if self.has_room(0) else CRAMPED_RATIO
-        return self.book.size > REWRITE_FROM and self.book.size > self.size() * ratio
+        return self.wal.size > REWRITE_FROM and self.wal.size > self.size() * ratio
 
     async def rewrite_if_due(self) -> None:
         """Rewrite the log if it wants it; one that fails is counted, loses nothing, and is tried again another time."""
         if not self.wants_rewrite():
             return
         try:
-            await self.book.rewrite()
+            await self.wal.rewrite()
         except LogError:
-            self.ctr.add("shelf.rewrite_failed")
+            self.counters.add("shelf.rewrite_failed")
--- a/archhatch/jobs/replicator.py
+++ b/archhatch/jobs/replicator.py
@@ -21,19 +21,19 @@
 class Replicator:
     """put() returns when enough stores have synced the records.
 
-    >>> # await copier.put("run", 3, recs)
+    >>> # await replicator.put("run", 3, records)
     """
 
     def __init__(
         self,
         me,
-        shelf,
+        record_store,
         lines,
         members,
         alive,
-        crew,
-        ctr,
-        secs: float,
+        task_group,
+        counters,
+        timeout_s: float,
         quorum: Quorum,
         takes=None,
         watch=None,
@@ -41,31 +41,31 @@
     ):
         """takes(store) says whether a store's disk takes records; watch(write) waits for a write to this one's;
         prefers(run) names stores that should hold a run's records before others."""
-        self.me, self.shelf, self.lines = me, shelf, lines
+        self.me, self.record_store, self.connections = me, record_store, lines
         self.members, self.alive = members, alive
         self.takes = takes or (lambda sid: True)
         self.watch = watch or (lambda write: write)
         self.prefers = prefers or (lambda run: frozenset())
-        self.crew, self.ctr, self.secs = crew, ctr, secs
+        self.task_group, self.counters, self.seconds = task_group, counters, timeout_s
         self.quorum = quorum
         self._late: dict[str, float] = {}  # store -> until when it is asked only if no other will do
         self._inboxes: dict[str, list] = {}
         self._wakes: dict[str, asyncio.Event] = {}
 
-    def enough(self, rec: Record) -> bool:
+    def enough(self, record: Record) -> bool:
         """Whether a record's copies on stores that stay are enough."""
-        return self.quorum.enough(rec.held, active(self.members()))
+        return self.quorum.enough(record.held, active(self.members()))
 
-    def targets(self, lid: str, held, avoid=(), silent: bool = True, first=frozenset()) -> list:
+    def targets(self, job_id: str, held, avoid=(), silent: bool = True, first=frozenset()) -> list:
         """The stores that should have a lot's record besides those that hold it: this one, then by rendezvous of the
         lot's id those in touch, those that were late with an answer, and if these are not enough also silent ones;
         none whose disk takes nothing. Of each kind those in `first` come before the others."""
         members = active(self.members())
-        order = [self.me] + rank(lid, [s for s in members if s != self.me])
+        order = [self.me] + rank(job_id, [s for s in members if s != self.me])
         order = [s for s in order if s not in avoid and self.takes(s)]
         if first:
             order.sort(key=lambda sid: sid not in first)
-        now, tiers = self.shelf.clock.now(), ([], [], [])
+        now, tiers = self.record_store.clock.now(), ([], [], [])
         for sid in order:
             tiers[2 if not self.alive(sid) else 1 if self._late.get(sid, now) > now else 0].append(sid)
         out: list = []
@@ -76,28 +76,28 @@
     def _shun(self, sids) -> None:
         for sid in sids:
             if sid != self.me:
-                self._late[sid] = self.shelf.clock.now() + self.secs * SHUN
-                self.ctr.add("copy.late")
+                self._late[sid] = self.record_store.clock.now() + self.seconds * SHUN
+                self.counters.add("copy.late")
 
-    async def put(self, run: str, term: int, recs: list[Record]) -> None:
+    async def put(self, run: str, term: int, records: list[Record]) -> None:
         """Have enough stores sync the records; DeposedError if one knows a higher term. One that is slow to answer is
         not waited for: another is asked as well."""
-        lid, first = recs[0].head["lot"], self.prefers(run)
+        job_id, first = records[0].head["lot"], self.prefers(run)
         wait: dict[asyncio.Future, tuple] = {}
         slow: set = set()  # asked, without an answer in time
         pause = 0.05
         while True:
-            lack = [r for r in recs if not self.enough(r)]
+            lack = [r for r in records if not self.enough(r)]
             if not lack:
                 return
-            if self.shelf.promised.get(run, 0) > term:
+            if self.record_store.promised.get(run, 0) > term:
                 raise DeposedError(run)
             jobs: dict[str, list] = {}
             for r in lack:
                 coming = {
                     sid for sid, rs in wait.values() if sid not in slow and self.takes(sid) and any(r is x for x in rs)
                 }
-                for sid in self.targets(lid, r.held | coming, avoid=slow, first=first):
+                for sid in self.targets(job_id, r.held | coming, avoid=slow, first=first):
                     jobs.setdefault(sid, []).append(r)
             for sid, rs in jobs.items():
                 wait[self.send(sid, run, term, rs)] = (sid, rs)
@@ -106,7 +106,7 @@
                 pause = min(0.4, pause * 2)
                 slow.clear()
                 continue
-            done, _ = await asyncio.wait(wait, timeout=self.secs / 3, return_when=asyncio.FIRST_COMPLETED)
+            done, _ = await asyncio.wait(wait, timeout=self.seconds / 3, return_when=asyncio.FIRST_COMPLETED)
             if not done:
                 late = {sid for sid, _ in wait.values()} - slow
                 slow |= late
@@ -121,36 +121,36 @@
                         self._shun({sid})
                     slow.add(sid)
 
-    async def _here(self, term: int, recs: list[Record]):
+    async def _here(self, term: int, records: list[Record]):
         try:
-            out = await self.watch(self.shelf.append([Record({**r.head, "by": term}, r.body) for r in recs]))
+            out = await self.watch(self.record_store.append([Record({**r.head, "by": term}, r.body) for r in records]))
         except LogError:
-            self.ctr.add("copy.own_disk")
+            self.counters.add("copy.own_disk")
             return None  # this store's copy is one like any other: others make up for it
-        return self._settle(self.me, out, recs)
+        return self._settle(self.me, out, records)
 
-    def _settle(self, sid: str, verdicts: list, recs: list[Record]) -> bool | None:
+    def _settle(self, sid: str, verdicts: list, records: list[Record]) -> bool | None:
         """What a store's verdicts on a job's records come to: False if any met a higher term, None if the disk lacks
         the room for any; only if all are synced do they count as held there."""
         if False in verdicts:
-            self.ctr.add("copy.stale_term")
+            self.counters.add("copy.stale_term")
             return False
         if None in verdicts:
-            self.ctr.add("copy.no_room")
+            self.counters.add("copy.no_room")
             return None
-        for rec in recs:
-            rec.held.add(sid)
+        for record in records:
+            record.held.add(sid)
         return True
 
-    def send(self, sid: str, run: str, term: int, recs: list[Record]) -> asyncio.Future:
+    def send(self, sid: str, run: str, term: int, records: list[Record]) -> asyncio.Future:
         """Put records into a store's inbox; True when synced there, False if deposed, None if it does not answer."""
         if sid == self.me:
-            return asyncio.ensure_future(self._here(term, recs))
+            return asyncio.ensure_future(self._here(term, records))
         fut = asyncio.get_running_loop().create_future()
         if sid not in self._inboxes:
             self._inboxes[sid], self._wakes[sid] = [], asyncio.Event()
-            self.crew.keep("copy", self._work, sid)
-        self._inboxes[sid].append((run, term, recs, fut))
+            self.task_group.keep("copy", self._work, sid)
+        self._inboxes[sid].append((run, term, records, fut))
         self._wakes[sid].set()
         return fut
 
@@ -169,17 +169,17 @@
         member = self.members().get(sid)
         oks = None
         if member is not None:
-            recs = [Record({**r.head, "by": term}, r.body) for _, term, rs, _ in jobs for r in rs]
+            records = [Record({**r.head, "by": term}, r.body) for _, term, rs, _ in jobs for r in rs]
             try:
-                code, oks, _ = await self.lines.to(member["addr"]).call(
-                    "shelf.append", {"to": sid}, pack_many(recs), secs=self.secs
+                code, oks, _ = await self.connections.to(member["addr"]).call(
+                    "shelf.append", {"to": sid}, pack_many(records), timeout_s=self.seconds
                 )
                 if code != 1000:
                     # 2008: another life stands there; 3004: it does not know all terms yet; 3010: its disk is full
-                    self.ctr.add(f"copy.refused.{code}")
+                    self.counters.add(f"copy.refused.{code}")
                     oks = None
             except CallError:
-                self.ctr.add("copy.unanswered")
+                self.counters.add("copy.unanswered")
         at = 0
         for _, _, rs, fut in jobs:
             out = None
--- a/archhatch/membership/config_sources.py
+++ b/archhatch/membership/config_sources.py
@@ -20,7 +20,7 @@
 @dataclass
 class _Source:
     node: str = ""  # its id, if its answers give one
-    life: str = ""
+    incarnation: str = ""
     ended: set = field(default_factory=set)  # lives that newer ones followed
 
 
@@ -39,35 +39,35 @@
         self._rounds = 0
         self._patient_until = float("-inf")
 
-    def node(self, addr: str) -> str:
+    def node(self, address: str) -> str:
         """The id of the node at an address, empty if it is not known."""
-        source = self._sources.get(addr)
+        source = self._sources.get(address)
         return source.node if source is not None else ""
 
-    def forget(self, addr: str) -> None:
+    def forget(self, address: str) -> None:
         """Another node is at this address now; whichever it is, it may be asked."""
-        source = self._sources.get(addr)
+        source = self._sources.get(address)
         if source is not None:
             source.node = ""
 
-    def heed(self, addr: str, doc: dict) -> bool:
+    def heed(self, address: str, doc: dict) -> bool:
         """Whether an answer may be folded: not if it comes from a life of its source that has ended."""
-        source = self._sources.setdefault(addr, _Source())
+        source = self._sources.setdefault(address, _Source())
         if doc["life"] in source.ended:
             return False
-        if source.life and source.life != doc["life"]:
-            source.ended.add(source.life)
-        source.life, source.node = doc["life"], doc.get("id", "")
+        if source.incarnation and source.incarnation != doc["life"]:
+            source.ended.add(source.incarnation)
+        source.incarnation, source.node = doc["life"], doc.get("id", "")
         return True
 
     def judge(self, held: dict, told_before: dict, newest: dict) -> Verdict:
         """What an answer shows once it is folded: held are the reader's versions now, told_before what had been told of
         when it asked, newest what the answer says that its node has heard of."""
-        fresh = {part: version for part, version in newest.items() if version > self.told.get(part, 0)}
+        fresh = {shard: version for shard, version in newest.items() if version > self.told.get(shard, 0)}
         if fresh:
             self.told.update(fresh)
             self._rounds, self._patient_until = 0, float("-inf")
-        if any(version < held.get(part, 0) for part, version in newest.items()):
+        if any(version < held.get(shard, 0) for shard, version in newest.items()):
             return Verdict.BEHIND
         if self.lags(held, told_before):
             return Verdict.LAGGING
@@ -75,25 +75,25 @@
 
     def lags(self, held: dict, told: dict | None = None) -> bool:
         """Whether a newer version than the held one has been told of."""
-        return any(version > held.get(part, 0) for part, version in (self.told if told is None else told).items())
+        return any(version > held.get(shard, 0) for shard, version in (self.told if told is None else told).items())
 
     def hurried(self, held: dict, now: float) -> bool:
         """Whether the next question should wait only briefly: something newer is out, and not all were asked for it."""
         return now >= self._patient_until and self.lags(held)
 
-    def next_after(self, verdict: Verdict, addrs: list, addr: str, now: float) -> str:
+    def next_after(self, verdict: Verdict, addrs: list, address: str, now: float) -> str:
         """The address to ask next."""
         if verdict is Verdict.GOOD:
             self._left.clear()
-            return addr
+            return address
         if now < self._patient_until:
-            return addr
-        self._left.add(addr)
-        at = addrs.index(addr) if addr in addrs else 0
+            return address
+        self._left.add(address)
+        at = addrs.index(address) if address in addrs else 0
         for other in addrs[at + 1 :] + addrs[:at]:
             if other not in self._left:
                 return other
         self._left.clear()  # none does better: stay a while, each time longer
         self._patient_until = now + self.pause_s * min(MOST_PATIENCE, 2**self._rounds)
         self._rounds += 1
-        return addr
+        return address
--- a/archhatch/membership/config_watcher.py
+++ b/archhatch/membership/config_watcher.py
@@ -18,25 +18,25 @@
 class ConfigWatcher:
     """Keeps the newest parts and the roll in hand; never goes back in one life.
 
-    >>> # reader = ConfigWatcher(boot, card, lines, board, clock, ctr); await reader.run()
+    >>> # reader = ConfigWatcher(settings, card, lines, state_board, clock, counters); await reader.run()
     """
 
-    def __init__(self, boot, card, lines, board, clock, ctr):
-        self.boot, self.card, self.lines = boot, card, lines
-        self.board, self.clock, self.ctr = board, clock, ctr
-        self.port = boot.ports[0]
-        self.addrs = [f"{s.rsplit(':', 1)[0]}:{self.port}" for s in boot.seeds]
+    def __init__(self, settings, card, lines, state_board, clock, counters):
+        self.settings, self.card, self.connections = settings, card, lines
+        self.state_board, self.clock, self.counters = state_board, clock, counters
+        self.port = settings.ports[0]
+        self.addrs = [f"{s.rsplit(':', 1)[0]}:{self.port}" for s in settings.seeds]
         random.shuffle(self.addrs)
         self.stamps: dict[str, int] = {}
-        self.parts: dict[str, dict] = {}
-        self.roll: dict[str, dict] = {}
-        self.life, self.turn = "", 0
+        self.shards: dict[str, dict] = {}
+        self.registry: dict[str, dict] = {}
+        self.incarnation, self.turn = "", 0
         self.fresh_at = float("-inf")
         self.confirmed_at = float("-inf")  # when the last question was asked whose answer a serving node gave
         self._time_ahead: deque[float] = deque(maxlen=TIMES_KEPT)
         self._failed = False  # whether the last question had no answer
-        self.hold_s = boot.secs("ContactMs", 1 / 3)
-        self.grace_s = boot.secs("ContactMs", 0.2)  # how much longer than the question waits an answer may take
+        self.hold_s = settings.seconds("ContactMs", 1 / 3)
+        self.grace_s = settings.seconds("ContactMs", 0.2)  # how much longer than the question waits an answer may take
         self.sources = ConfigSources(self.hold_s)
         self.at = 0
         self.mine: list = []
@@ -61,26 +61,26 @@
         while True:
             self._failed = not await self.ask_once()
             if self._failed:
-                self.ctr.add("news.refused")
+                self.counters.add("news.refused")
                 self.at = (self.at + 1) % len(self.addrs)
                 await asyncio.sleep(random.uniform(0.02, 0.06))
 
     async def ask_once(self) -> bool:
         """Ask the present source and take up its answer; False if it gave none."""
-        addr, asked = self.addrs[self.at % len(self.addrs)], self.clock.now()
+        address, asked = self.addrs[self.at % len(self.addrs)], self.clock.now()
         hurry = self._failed or self.sources.hurried(self.stamps, asked)
         hold = self.hold_s * (HURRY if hurry else 1.0)
         told = dict(self.sources.told)
         try:
-            code, doc, _ = await self.call(addr, "news", self._question(hold, asked), hold + self.grace_s)
+            code, doc, _ = await self.call(address, "news", self._question(hold, asked), hold + self.grace_s)
         except CallError:
             return False
         if code != DONE:
             return False
         if self.clock.now() - asked > hold + self.grace_s:
-            self.ctr.add("news.asked_anew")  # this node stood still: the answer waited for it, and is old
+            self.counters.add("news.asked_anew")  # this node stood still: the answer waited for it, and is old
             return True
-        if self.take_up(addr, doc, told) is Verdict.GOOD:
+        if self.take_up(address, doc, told) is Verdict.GOOD:
             self.confirmed_at = max(self.confirmed_at, asked)
         return True
 
@@ -91,7 +91,7 @@
             "busy": sorted(self.busy),
             "who": self.card,
             "stamps": self.stamps,
-            "life": self.life,
+            "life": self.incarnation,
             "turn": self.turn,
             "hold": hold,
         }
@@ -99,31 +99,31 @@
             doc["served"] = served
         return doc
 
-    def take_up(self, addr: str, doc: dict, told: dict) -> Verdict:
+    def take_up(self, address: str, doc: dict, told: dict) -> Verdict:
         """Fold an answer of a source, unless it is one of an ended life; leave the source if it is behind. What the
         answer shows of its source.
 
         told: the newest versions that had been told of when the question was asked.
         """
         verdict = Verdict.OLD_LIFE
-        if self.sources.heed(addr, doc):
-            newest = {**{part: got["stamp"] for part, got in doc["parts"].items()}, **(doc.get("newest") or {})}
+        if self.sources.heed(address, doc):
+            newest = {**{shard: got["stamp"] for shard, got in doc["parts"].items()}, **(doc.get("newest") or {})}
             self.fold(doc)
             verdict = self.sources.judge(self.stamps, told, newest)
         if verdict is not Verdict.GOOD:
-            self.ctr.add(f"news.{verdict.value}")
-        after = self.sources.next_after(verdict, self.addrs, addr, self.clock.now())
+            self.counters.add(f"news.{verdict.value}")
+        after = self.sources.next_after(verdict, self.addrs, address, self.clock.now())
         if after in self.addrs:
             self.at = self.addrs.index(after)
         return verdict
 
-    async def call(self, addr: str, verb: str, doc: dict, secs: float):
+    async def call(self, address: str, verb: str, doc: dict, timeout_s: float):
         """Call a control node by its id, where it is known; one that is another by now is asked again without."""
-        node = self.sources.node(addr)
-        out = await self.lines.to(addr).call(verb, doc, secs=secs, to=node)
+        node = self.sources.node(address)
+        out = await self.connections.to(address).call(verb, doc, timeout_s=timeout_s, to=node)
         if node and is_misdirected(*out[:2]):
-            self.ctr.add("news.other_node")
-            self.sources.forget(addr)
+            self.counters.add("news.other_node")
+            self.sources.forget(address)
         return out
 
     def fold(self, doc: dict) -> None:
@@ -131,50 +131,50 @@
         self.fresh_at = self.clock.now()
         if doc.get("time") is not None:
             self._time_ahead.append(doc["time"] - self.fresh_at)
-        self.life, self.turn = doc["life"], doc["turn"]
+        self.incarnation, self.turn = doc["life"], doc["turn"]
         here = self.addrs[self.at % len(self.addrs)]
         known = [a for a in doc["cores"]]
         if known:
             self.addrs = list(dict.fromkeys(known + ([here] if here not in known else [])))
             self.at = self.addrs.index(here)
         changed = False
-        for part, got in doc["parts"].items():
-            changed = self._fold_part(part, got) or changed
+        for shard, got in doc["parts"].items():
+            changed = self._fold_part(shard, got) or changed
         if doc["busy"] != self.busy:
             self.busy = doc["busy"]
-            self.board.touch("work")
+            self.state_board.touch("work")
         fresh = []
-        for ent in doc["roll"]:
-            old = self.roll.get(ent["id"])
+        for entry in doc["roll"]:
+            old = self.registry.get(entry["id"])
             if old is not None and (
                 old["state"] == "gone"
-                or (old["state"] == "draining" and ent["state"] == "up")
-                or (ent["seq"] < old["seq"] and ent["state"] == old["state"])
+                or (old["state"] == "draining" and entry["state"] == "up")
+                or (entry["seq"] < old["seq"] and entry["state"] == old["state"])
             ):
-                self.ctr.add("news.late_entry")
+                self.counters.add("news.late_entry")
                 continue
-            self.roll[ent["id"]] = ent
-            fresh.append(ent)
+            self.registry[entry["id"]] = entry
+            fresh.append(entry)
         if fresh:
             self.mine.extend(fresh)
-            self.board.touch("roll")
+            self.state_board.touch("roll")
         if changed:
-            self.board.touch("parts")
+            self.state_board.touch("parts")
 
-    def _fold_part(self, part: str, got: dict) -> bool:
+    def _fold_part(self, shard: str, got: dict) -> bool:
         """Take up a register, whole or as the changes since the version that this node has; whether it is newer."""
-        held = self.stamps.get(part, 0)
+        held = self.stamps.get(shard, 0)
         if got["stamp"] <= held:
-            self.ctr.add("news.late_part")
+            self.counters.add("news.late_part")
             return False
         if "changes" not in got:
             value = got["val"]
         elif got["base"] == held:
-            value = apply_all(self.parts[part], got["changes"])
+            value = apply_all(self.shards[shard], got["changes"])
         else:
-            self.ctr.add("news.other_base")  # the next question names the version that is held
+            self.counters.add("news.other_base")  # the next question names the version that is held
             return False
-        self.stamps[part], self.parts[part] = got["stamp"], value
+        self.stamps[shard], self.shards[shard] = got["stamp"], value
         return True
 
     def take_roll(self) -> list:
@@ -182,12 +182,14 @@
         out, self.mine = self.mine, []
         return out
 
-    async def do(self, part: str, name: str, args: dict, secs: float = 1.5):
+    async def do(self, shard: str, name: str, args: dict, timeout_s: float = 1.5):
         """Run a command on a part, through any control node: (code, document)."""
         for _ in range(2):
-            for addr in self.candidates():
+            for address in self.candidates():
                 try:
-                    code, doc, _ = await self.call(addr, "do", {"part": part, "name": name, "args": args}, secs)
+                    code, doc, _ = await self.call(
+                        address, "do", {"part": shard, "name": name, "args": args}, timeout_s
+                    )
                 except CallError:
                     continue
                 if code not in (NO_CONFIGURATION, NO_MAJORITY) and not is_misdirected(code, doc):
--- a/archhatch/membership/rendezvous.py
+++ b/archhatch/membership/rendezvous.py
@@ -23,10 +23,10 @@
     return rank(key, names)[:count]
 
 
-def shard_of(service: str, parts: list) -> str:
+def shard_of(service: str, shards: list) -> str:
     """The part that holds a service's state.
 
     >>> shard_of("svc", ["p0"])
     'p0'
     """
-    return pick(service, parts)[0]
+    return pick(service, shards)[0]
--- a/archhatch/membership/replica_registry.py
+++ b/archhatch/membership/replica_registry.py
@@ -24,23 +24,23 @@
         self.beat_turn = 0
         self.told_turns: dict[str, int] = {}  # the beat turn of the last beat that said more than 'still here'
 
-    def beat(self, ent: dict, now: float) -> bool:
+    def beat(self, entry: dict, now: float) -> bool:
         """Fold one beat, or the word of another node about one; False if it is late."""
-        rid = ent["id"]
+        rid = entry["id"]
         old = self.all.get(rid)
         if old is not None:
-            if RANK[old["state"]] > RANK[ent["state"]]:
+            if RANK[old["state"]] > RANK[entry["state"]]:
                 return False
-            if RANK[old["state"]] == RANK[ent["state"]] and ent["seq"] <= old["seq"]:
+            if RANK[old["state"]] == RANK[entry["state"]] and entry["seq"] <= old["seq"]:
                 return False
-            if ent["state"] == "gone":
-                ent = {**old, "state": "gone", "seq": max(old["seq"], ent["seq"])}
-        self.all[rid] = ent
+            if entry["state"] == "gone":
+                entry = {**old, "state": "gone", "seq": max(old["seq"], entry["seq"])}
+        self.all[rid] = entry
         self.heard[rid] = max(now, self.heard.get(rid, now))
         self.beat_turn += 1
         self.beat_turns.pop(rid, None)  # at the end of the dictionary: its order is that of the turns
         self.beat_turns[rid] = self.beat_turn
-        if old is None or {**old, "seq": 0} != {**ent, "seq": 0}:
+        if old is None or {**old, "seq": 0} != {**entry, "seq": 0}:
             self._turn(rid)
             self.told_turns[rid] = self.beat_turn
         return True
@@ -53,15 +53,15 @@
     def sweep(self, now: float, quiet_s: float) -> bool:
         """Mark replicas that fell silent or spoke again, drop those long gone; True if any changed."""
         did = False
-        for rid, ent in list(self.all.items()):
+        for rid, entry in list(self.all.items()):
             age = now - self.heard[rid]
-            if age > KEEP_GONE and (ent["state"] == "gone" or age > 4 * KEEP_GONE):
+            if age > KEEP_GONE and (entry["state"] == "gone" or age > 4 * KEEP_GONE):
                 for d in (self.all, self.heard, self.turns, self.beat_turns, self.told_turns):
                     d.pop(rid, None)
                 continue
             silent = age > quiet_s
-            if ent.get("silent", False) != silent:
-                self.all[rid] = {**ent, "silent": silent}
+            if entry.get("silent", False) != silent:
+                self.all[rid] = {**entry, "silent": silent}
                 self._turn(rid)
                 did = True
         return did
@@ -84,23 +84,23 @@
         """
         out = []
         for rid in later(self.beat_turns, turn):
-            ent, age = self.all[rid], now - self.heard[rid]
+            entry, age = self.all[rid], now - self.heard[rid]
             if self.told_turns.get(rid, 0) > turn:
-                out.append({**ent, "age": age})
+                out.append({**entry, "age": age})
             else:
-                out.append({"id": rid, "seq": ent["seq"], "age": age})
+                out.append({"id": rid, "seq": entry["seq"], "age": age})
         return out
 
-    def whole(self, ent: dict) -> dict | None:
+    def whole(self, entry: dict) -> dict | None:
         """An entry told by another control node, with what its short form left out; None if that is not known here.
 
         >>> r = ReplicaRegistry(); r.whole({"id": "a", "seq": 2}) is None
         True
         """
-        if "state" in ent:
-            return ent
-        old = self.all.get(ent["id"])
-        return None if old is None else {**old, **ent}
+        if "state" in entry:
+            return entry
+        old = self.all.get(entry["id"])
+        return None if old is None else {**old, **entry}
 
 
 def later(turns: dict, turn: int) -> list:
--- a/archhatch/platform_client/client.py
+++ b/archhatch/platform_client/client.py
@@ -35,8 +35,14 @@
     >>> # await client.deliver("/capacity", {"Service": "s", "Zone": "z", "DesiredCount": 4}, lease)
     """
 
-    def __init__(self, settings, node: str, caller, clock, counters):
-        self.settings, self.node, self.caller, self.clock, self.counters = settings, node, caller, clock, counters
+    def __init__(self, settings, node: str, upstream_client, clock, counters):
+        self.settings, self.node, self.upstream_client, self.clock, self.counters = (
+            settings,
+            node,
+            upstream_client,
+            clock,
+            counters,
+        )
         self._next_at = float("-inf")
         self._turn = asyncio.Lock()
 
@@ -47,7 +53,7 @@
         self.counters.add("platform.call")
         try:
             async with asyncio.timeout(CALL_S):
-                async with self.caller.ask(
+                async with self.upstream_client.ask(
                     self.settings.address, "", "POST", path, heads, orjson.dumps(doc), 0.0, "", may_send
                 ) as response:
                     await response.read()
--- a/archhatch/region_policy/client.py
+++ b/archhatch/region_policy/client.py
@@ -34,16 +34,18 @@
 class ControlPlane:
     """Calls control nodes, one seed after the other, until one gives a clear answer.
 
-    >>> # async with ControlPlane(boot) as cp: status, doc = await cp.call("GET", "/api/policy")
+    >>> # async with ControlPlane(settings) as cp: status, doc = await cp.call("GET", "/api/policy")
     """
 
     ROUNDS = 3
 
-    def __init__(self, boot: Settings):
-        self.boot = boot
+    def __init__(self, settings: Settings):
+        self.settings = settings
 
     async def __aenter__(self):
-        self.http = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=self.boot.secs("AckTimeoutMs", 0.5)))
+        self.http = aiohttp.ClientSession(
+            timeout=aiohttp.ClientTimeout(total=self.settings.seconds("AckTimeoutMs", 0.5))
+        )
         return self
 
     async def __aexit__(self, *exc):
@@ -52,13 +54,13 @@
     async def call(self, method: str, path: str, body: bytes | None = None, heads: dict | None = None) -> tuple:
         why = "SeedPeers is empty"
         for _ in range(self.ROUNDS):
-            for seed in self.boot.seeds:
+            for seed in self.settings.seeds:
                 try:
-                    async with self.http.request(method, f"http://{seed}{path}", data=body, headers=heads) as resp:
-                        data = await resp.read()
-                        if resp.status < 500:
-                            return resp.status, orjson.loads(data)
-                        why = f"{seed}: status {resp.status}"
+                    async with self.http.request(method, f"http://{seed}{path}", data=body, headers=heads) as response:
+                        data = await response.read()
+                        if response.status < 500:
+                            return response.status, orjson.loads(data)
+                        why = f"{seed}: status {response.status}"
                 except (aiohttp.ClientError, asyncio.TimeoutError, orjson.JSONDecodeError) as e:
                     why = f"{seed}: {e or type(e).__name__}"
         raise PolicyClientError(f"no control node gives a clear answer; the last: {why}")
@@ -101,12 +103,12 @@
         }
 
     def run(self, args: list) -> int:
-        fn = self.table.get((args[0], len(args) - 1)) if args else None
-        if fn is None:
+        function = self.table.get((args[0], len(args) - 1)) if args else None
+        if function is None:
             print(USE, file=sys.stderr)
             return 2
         try:
-            return asyncio.run(fn(*args[1:]))
+            return asyncio.run(function(*args[1:]))
         except SettingsError as e:
             print(f"archhatch: {e}", file=sys.stderr)
         except PolicyClientError as e:
@@ -131,9 +133,9 @@
         return 0
 
     async def _put(self, path: str) -> int:
-        boot, text = self._boot(), _text(path)
-        read_policy(text, path, set(boot.zones.values()))
-        async with ControlPlane(boot) as cp:
+        settings, text = self._boot(), _text(path)
+        read_policy(text, path, set(settings.zones.values()))
+        async with ControlPlane(settings) as cp:
             match = self.opts.match
             if match is None:
                 status, doc = await cp.call("GET", "/api/policy")
@@ -178,39 +180,39 @@
         if not opts.route and not (opts.host and opts.path):
             print(USE, file=sys.stderr)
             return 2
-        plan, val = await self._facts(path)
+        plan, value = await self._facts(path)
         if opts.route:
-            lane = next((x for x in plan.lanes() if x.name == opts.route), None)
+            route = next((x for x in plan.routes() if x.name == opts.route), None)
         else:
-            lane = plan.lane(opts.host, opts.path)
-        if lane is None:
+            route = plan.route(opts.host, opts.path)
+        if route is None:
             raise PolicyClientError("the configuration has no such route")
-        for row in explain(val, lane, opts.regions_out or []):
+        for row in explain(value, route, opts.regions_out or []):
             print(row)
         return 0
 
     async def _facts(self, path: str | None) -> tuple:
         """The configuration, and what the news of the 'plan' part would say of policy and regions."""
         text = _text(path) if path else None
-        boot = self._boot() if not (text and self.opts.plan) or self.opts.settings else None
-        zones = boot.zones if boot else {}
+        settings = self._boot() if not (text and self.opts.plan) or self.opts.settings else None
+        zones = settings.zones if settings else {}
         if self.opts.plan:
             try:
                 plan = RoutingTable(check_config(orjson.loads(_text(self.opts.plan))))
             except (orjson.JSONDecodeError, InvalidConfigError) as e:
                 raise PolicyClientError(f"{self.opts.plan}: {e}") from e
-        val: dict = {}
+        value: dict = {}
         if not (text and self.opts.plan):
-            async with ControlPlane(boot) as cp:
+            async with ControlPlane(settings) as cp:
                 if not self.opts.plan:
                     plan = RoutingTable(_good(await cp.call("GET", "/api/config")))
                 status, now = await cp.call("GET", "/api/policy")
                 if status == 200:
-                    val = {"regions": _good(await cp.call("GET", "/api/regions"))["RegionTable"]}
+                    value = {"regions": _good(await cp.call("GET", "/api/regions"))["RegionTable"]}
                     zones, text = now["ZoneMap"], text or now["Text"]
         regions = {
             r["Name"]: {"epoch": r["Epoch"], "out": {o["Rule"]: o for o in r["OutTable"]}}
-            for r in val.get("regions", [])
+            for r in value.get("regions", [])
         }
         if text is None:
             return plan, {}
--- a/archhatch/region_policy/commands.py
+++ b/archhatch/region_policy/commands.py
@@ -27,60 +27,60 @@
 
 
 @commands.on("policy.put")
-def policy_put(val, args):
+def policy_put(value, args):
     """A whole policy: {"text": TOML, "match": 3, "zones": {zone: region}}; taken once, whoever repeats it."""
-    old = val.get("policy") or {}
+    old = value.get("policy") or {}
     now, zones = old.get("version", 0), {**old.get("zones", {}), **args["zones"]}
     try:
         doc = read_policy(args["text"], known=set(zones.values()))
     except PolicyError as e:
         return 2101, str(e), False
     ver, mark = str(doc["version"]), digest(args["text"])
-    if val.get("policy_taken", {}).get(ver) == mark:
+    if value.get("policy_taken", {}).get(ver) == mark:
         return 1000, {"Version": now}, False
     if args["match"] != now:
         return 2011, {"Version": now}, False
     if doc["version"] <= now:
         return 2005, {"Version": now}, False
-    val["policy"] = {**doc, "text": args["text"], "zones": zones}
-    _forget_gone(val)
-    taken = val.setdefault("policy_taken", {})
+    value["policy"] = {**doc, "text": args["text"], "zones": zones}
+    _forget_gone(value)
+    taken = value.setdefault("policy_taken", {})
     taken[ver] = mark
     while len(taken) > KEEP_TAKEN:
         del taken[next(iter(taken))]
     return 1000, {"Version": doc["version"]}, True
 
 
-def _forget_gone(val) -> None:
+def _forget_gone(value) -> None:
     """What was found out for a rule that no longer lists the region falls away; epochs and operators' words stay."""
-    lists = {r["name"]: r["regions"] for r in val["policy"]["rules"]}
-    for region, fact in val.get("regions", {}).items():
+    lists = {r["name"]: r["regions"] for r in value["policy"]["rules"]}
+    for region, fact in value.get("regions", {}).items():
         for scope in [s for s in fact["out"] if s != ALL and region not in lists.get(s, ())]:
             del fact["out"][scope]
-            _raise(fact, scope, "in", "policy", f"version {val['policy']['version']} has no such place")
+            _raise(fact, scope, "in", "policy", f"version {value['policy']['version']} has no such place")
 
 
 @commands.on("policy.get")
-def policy_get(val, args):
+def policy_get(value, args):
     """The policy in force, sure to be the newest."""
-    if "policy" not in val:
+    if "policy" not in value:
         return 2103, None, False
-    p = val["policy"]
+    p = value["policy"]
     return 1000, {"Version": p["version"], "Text": p["text"], "ZoneMap": p["zones"]}, False
 
 
 @commands.on("policy.zones")
-def policy_zones(val, args):
+def policy_zones(value, args):
     """Zones that were added to the system: {"zones": {zone: region}}. A zone that is known keeps its region."""
-    if "policy" not in val:
+    if "policy" not in value:
         return 2103, None, False
-    fresh = {z: r for z, r in args["zones"].items() if z not in val["policy"]["zones"]}
-    val["policy"]["zones"].update(fresh)
+    fresh = {z: r for z, r in args["zones"].items() if z not in value["policy"]["zones"]}
+    value["policy"]["zones"].update(fresh)
     return 1000, None, bool(fresh)
 
 
-def _known(val) -> set:
-    p = val["policy"]
+def _known(value) -> set:
+    p = value["policy"]
     return set(p["zones"].values()) | {g for r in p["rules"] for g in r["regions"]}
 
 
@@ -91,13 +91,13 @@
     fact["log"] = (fact["log"] + [[fact["epoch"], scope, state, by, reason]])[-KEEP_LOG:]
 
 
-def _fact(val, args, state):
+def _fact(value, args, state):
     """The region's fact, or the code of a refusal and its document."""
-    if "policy" not in val:
+    if "policy" not in value:
         return None, (2103, None, False)
-    if args["region"] not in _known(val):
+    if args["region"] not in _known(value):
         return None, (2102, args["region"], False)
-    fact = val.get("regions", {}).get(args["region"]) or {"epoch": 0, "out": {}, "flaps": {}, "log": []}
+    fact = value.get("regions", {}).get(args["region"]) or {"epoch": 0, "out": {}, "flaps": {}, "log": []}
     if args.get("epoch") is not None and args["epoch"] != fact["epoch"]:
         if _taken_before(fact, args, state):
             return None, (1000, {"Epoch": fact["epoch"]}, False)
@@ -114,12 +114,12 @@
 
 
 @commands.on("region.out")
-def region_out(val, args):
+def region_out(value, args):
     """A region is out: {"region", "rule", "reason", "by", "epoch"?, "calm"?}; rule "*" is an operator's word.
 
     With calm, the region had long been in: its flaps count from the start again.
     """
-    fact, refusal = _fact(val, args, "out")
+    fact, refusal = _fact(value, args, "out")
     if refusal:
         return refusal
     rule = args["rule"]
@@ -127,14 +127,14 @@
         return 1000, {"Epoch": fact["epoch"]}, False
     fact["flaps"][rule] = 1 if args.get("calm") else min(MOST_FLAPS, fact["flaps"].get(rule, 0) + 1)
     _raise(fact, rule, "out", args["by"], args["reason"])
-    val.setdefault("regions", {})[args["region"]] = fact
+    value.setdefault("regions", {})[args["region"]] = fact
     return 1000, {"Epoch": fact["epoch"]}, True
 
 
 @commands.on("region.back")
-def region_back(val, args):
+def region_back(value, args):
     """A region is in again: {"region", "rule", "reason", "by", "epoch"?}; rule "*" ends every rule's finding too."""
-    fact, refusal = _fact(val, args, "in")
+    fact, refusal = _fact(value, args, "in")
     if refusal:
         return refusal
     scopes = list(fact["out"]) if args["rule"] == ALL else [s for s in (args["rule"],) if s in fact["out"]]
@@ -145,13 +145,13 @@
 
 
 @commands.on("region.list")
-def region_list(val, args):
+def region_list(value, args):
     """All regions that the policy knows, sure to be the newest."""
-    if "policy" not in val:
+    if "policy" not in value:
         return 2103, None, False
-    p, rows = val["policy"], []
-    for name in sorted(_known(val)):
-        fact = val.get("regions", {}).get(name, {"epoch": 0, "out": {}, "log": []})
+    p, rows = value["policy"], []
+    for name in sorted(_known(value)):
+        fact = value.get("regions", {}).get(name, {"epoch": 0, "out": {}, "log": []})
         rows.append(
             {
                 "Name": name,
@@ -168,17 +168,17 @@
     return 1000, {"Version": p["version"], "RegionTable": rows}, False
 
 
-def policy_view(val: dict) -> dict:
+def policy_view(value: dict) -> dict:
     """What other nodes need of it; nothing while no policy is set.
 
     >>> policy_view({})
     {}
     """
-    if "policy" not in val:
+    if "policy" not in value:
         return {}
     return {
-        "policy": {k: v for k, v in val["policy"].items() if k != "text"},
+        "policy": {k: v for k, v in value["policy"].items() if k != "text"},
         "regions": {
-            n: {"epoch": f["epoch"], "out": {s: {} for s in f["out"]}} for n, f in val.get("regions", {}).items()
+            n: {"epoch": f["epoch"], "out": {s: {} for s in f["out"]}} for n, f in value.get("regions", {}).items()
         },
     }
--- a/archhatch/region_policy/explain.py
+++ b/archhatch/region_policy/explain.py
@@ -9,7 +9,7 @@
 KINDS = {NAME: "route name", PATTERN: "route pattern", PLACE: "host and prefix", CLASS: "class", ANY: "all routes"}
 
 
-def explain(val: dict, lane, out=()) -> list:
+def explain(value: dict, route, out=()) -> list:
     """Lines on a lane, from the news of the 'plan' part; regions named in out count as out besides.
 
     >>> from types import SimpleNamespace as N
@@ -17,21 +17,21 @@
     ['route q (batch, h/): no policy is set; it may run in any region']
     """
     places = Placement()
-    places.fold(val)
-    head = f"route {lane.name} ({lane.kind}, {lane.host}{lane.prefix})"
+    places.fold(value)
+    head = f"route {route.name} ({route.kind}, {route.host}{route.prefix})"
     if places.policy is None:
         return [f"{head}: no policy is set; it may run in any region"]
-    rule = places.rule(lane)
+    rule = places.rule(route)
     if rule is None:
         return [f"{head}: no rule of policy version {places.policy.version} binds it; it may run in any region"]
     facts = {**places.facts}
     for region in out:
         old = facts.get(region, {"epoch": 0, "out": {}})
         facts[region] = {**old, "out": {**old["out"], ALL: {"By": "--regions_out", "Reason": "as asked"}}}
-    places.fold({**val, "regions": facts})
+    places.fold({**value, "regions": facts})
     kinds = " and ".join(dict.fromkeys(f"{KINDS[m[0]]} {' '.join(m[1:])}" for m in rule.match))
     rows = [f"{head}: rule {rule.name} of policy version {places.policy.version}, by {kinds}"]
-    order = places.order(lane)
+    order = places.order(route)
     for n, region in enumerate(rule.regions, 1):
         zones = ", ".join(sorted(z for z, r in places.region_of.items() if r == region)) or "no zone known"
         rows.append(f"  {n}. {region} ({zones}): {_state(facts.get(region, {}), region, rule, order)}")
--- a/archhatch/region_policy/policy.py
+++ b/archhatch/region_policy/policy.py
@@ -25,8 +25,8 @@
 
     >>> from types import SimpleNamespace as N
     >>> p = Policy({"version": 1, "rules": [{"name": "q", "match": [[4, "a"]], "regions": ["x"]}]})
-    >>> lane = N(name="a", host="h", prefix="/", kind="batch")
-    >>> p.rule(lane).name, p.rule(N(name="b", host="h", prefix="/", kind="batch"))
+    >>> route = N(name="a", host="h", prefix="/", kind="batch")
+    >>> p.rule(route).name, p.rule(N(name="b", host="h", prefix="/", kind="batch"))
     ('q', None)
     """
 
@@ -44,25 +44,25 @@
             for r in doc["rules"]
         ]
 
-    def rule(self, lane) -> Rule | None:
+    def rule(self, route) -> Rule | None:
         best, best_rank = None, (-1, 0)
         for r in self.rules:
             for m in r.match:
-                rank = _rank(m, lane)
+                rank = _rank(m, route)
                 if rank is not None and rank > best_rank:
                     best, best_rank = r, rank
         return best
 
 
-def _rank(m: tuple, lane) -> tuple | None:
+def _rank(m: tuple, route) -> tuple | None:
     """How narrowly a match takes a lane in; None if not at all."""
     kind = m[0]
     if kind == NAME:
-        return (kind, 0) if lane.name == m[1] else None
+        return (kind, 0) if route.name == m[1] else None
     if kind == PATTERN:
-        return (kind, 0) if fits(m[1], lane.name) else None
+        return (kind, 0) if fits(m[1], route.name) else None
     if kind == PLACE:
-        return (kind, len(m[2])) if lane.host == m[1] and lane.prefix.startswith(m[2]) else None
+        return (kind, len(m[2])) if route.host == m[1] and route.prefix.startswith(m[2]) else None
     if kind == CLASS:
-        return (kind, 0) if lane.kind == m[1] else None
+        return (kind, 0) if route.kind == m[1] else None
     return kind, 0
--- a/archhatch/region_policy/reader.py
+++ b/archhatch/region_policy/reader.py
@@ -17,17 +17,17 @@
 
 
 class _Seconds(fields.Float):
-    def _deserialize(self, value, attr, data, **kw):
+    def _deserialize(self, value, attr, data, **kwargs):
         if isinstance(value, bool) or not isinstance(value, (int, float)):
             raise ValidationError("must be a number of seconds")
-        return super()._deserialize(value, attr, data, **kw)
+        return super()._deserialize(value, attr, data, **kwargs)
 
 
 class _Count(fields.Integer):
-    def _deserialize(self, value, attr, data, **kw):
+    def _deserialize(self, value, attr, data, **kwargs):
         if isinstance(value, bool):
             raise ValidationError("must be a whole number")
-        return super()._deserialize(value, attr, data, **kw)
+        return super()._deserialize(value, attr, data, **kwargs)
 
 
 def _words():
--- a/archhatch/region_policy/region_monitor.py
+++ b/archhatch/region_policy/region_monitor.py
@@ -13,14 +13,17 @@
 class RegionMonitor:
     """run() watches while a policy is set; without one it sleeps until the plan part changes.
 
-    >>> # duty = RegionMonitor(core, "plan"); crew.keep("regions", duty.run)
+    >>> # duty = RegionMonitor(core, "plan"); task_group.keep("regions", duty.run)
     """
 
-    def __init__(self, core, part: str):
-        self.core, self.part = core, part
-        boot = core.boot
+    def __init__(self, core, shard: str):
+        self.core, self.shard = core, shard
+        settings = core.settings
         # a replica counts as silent after 2.5 of its beats, and a node after ContactMs
-        self.watch = RegionWatch(max(boot.beat_ms / 1000 * 2.5, boot.secs("ContactMs")), boot.secs("ContactMs", 4))
+        self.watch = RegionWatch(
+            max(settings.heartbeat_interval_ms / 1000 * 2.5, settings.seconds("ContactMs")),
+            settings.seconds("ContactMs", 4),
+        )
         self.places = Placement()
         self.plan: RoutingTable | None = None
         self.served: dict[tuple, float] = {}  # (service, zone) -> when some node last had an answer from there
@@ -41,16 +44,16 @@
     async def run(self) -> None:
         core = self.core
         while True:
-            turn = core.board.turn("plan")
-            val = (core.known.get(self.part) or {"val": {}})["val"]
-            if "policy" not in val or "plan" not in val:
+            turn = core.state_board.turn("plan")
+            value = (core.known.get(self.shard) or {"val": {}})["val"]
+            if "policy" not in value or "plan" not in value:
                 self.last = None
-                await core.board.news("plan", turn)
+                await core.state_board.wait_for_change("plan", turn)
                 continue
-            await self.tend(val)
-            await asyncio.sleep(core.beat_s * random.uniform(0.9, 1.1))
+            await self.tend(value)
+            await asyncio.sleep(core.heartbeat_interval_s * random.uniform(0.9, 1.1))
 
-    async def tend(self, val: dict) -> None:
+    async def tend(self, value: dict) -> None:
         """One look at all regions."""
         core, now = self.core, self.core.clock.now()
         if not core.in_touch():
@@ -60,14 +63,14 @@
             self.watch.begin(now)
         if self.watch.since < core.started:
             self.watch.begin(core.started)
-        if self.plan is None or self.plan.stamp != val["plan"]["Revision"]:
-            self.plan = RoutingTable(val["plan"])
-        self.places.fold(val)
+        if self.plan is None or self.plan.stamp != value["plan"]["Revision"]:
+            self.plan = RoutingTable(value["plan"])
+        self.places.fold(value)
         advice = self.watch.advise(self.places.policy, self.places.facts, self._services(), self._heard(), now)
-        if core.owns(self.part):
-            zones = val["policy"]["zones"]
-            if any(z not in zones for z in core.boot.zones):
-                advice.append(("policy.zones", {"zones": core.boot.zones}))
+        if core.owns(self.shard):
+            zones = value["policy"]["zones"]
+            if any(z not in zones for z in core.settings.zones):
+                advice.append(("policy.zones", {"zones": core.settings.zones}))
             epochs: dict = {}  # after changes of this look: the next one stands on them, and on no one else's
             for name, args in advice:
                 region = args.get("region")
@@ -75,7 +78,7 @@
         self.last = core.clock.now()  # what a command took is no standstill
 
     async def _do(self, name: str, args: dict) -> int | None:
-        code, doc = await self.core.try_command(self.part, name, args)
+        code, doc = await self.core.try_command(self.shard, name, args)
         if code != 1000 or "region" not in args:
             return args["epoch"]
         self.core.log.info("{}: {} for {}: {}", name, args["region"], args["rule"], args["reason"])
@@ -83,20 +86,20 @@
 
     def _services(self) -> dict:
         out: dict = {}
-        for lane in self.plan.lanes():
-            rule = self.places.rule(lane)
+        for route in self.plan.routes():
+            rule = self.places.rule(route)
             if rule is not None:
-                out.setdefault(rule.name, set()).update(s for s, _ in lane.split)
+                out.setdefault(rule.name, set()).update(s for s, _ in route.split)
         return out
 
     def _heard(self) -> dict:
         """When each service was last heard in each region: beats of replicas that take requests, and answers."""
         out: dict = {}
-        roll, region_of = self.core.roll, self.places.region_of
-        for rid, ent in roll.all.items():
-            if ent["state"] == "up":
-                key = (ent["service"], region_of.get(ent["zone"]))
-                out[key] = max(roll.heard[rid], out.get(key, float("-inf")))
+        registry, region_of = self.core.registry, self.places.region_of
+        for rid, entry in registry.all.items():
+            if entry["state"] == "up":
+                key = (entry["service"], region_of.get(entry["zone"]))
+                out[key] = max(registry.heard[rid], out.get(key, float("-inf")))
         for (svc, zone), at in self.served.items():
             key = (svc, region_of.get(zone))
             out[key] = max(at, out.get(key, float("-inf")))
--- a/archhatch/rollout_controller/engines.py
+++ b/archhatch/rollout_controller/engines.py
@@ -12,7 +12,7 @@
     """One life of one replica."""
 
     iid: str
-    addr: str
+    address: str
     service: str
     zone: str
     slots: int
@@ -26,7 +26,7 @@
     running: dict = field(default_factory=dict)  # model -> items under way
     pause_until: float = 0.0
     pace: float = 0.0  # seconds an event, lately
-    fitness: ReplicaHealth = field(default_factory=ReplicaHealth)
+    health: ReplicaHealth = field(default_factory=ReplicaHealth)
 
     def busy(self) -> int:
         return sum(self.running.values())
@@ -58,29 +58,34 @@
 
     def fold(self, entries: list) -> None:
         """Take up changed entries of the roll."""
-        for ent in entries:
-            e = self.all.get(ent["id"])
-            if ent["state"] == "gone":
+        for entry in entries:
+            e = self.all.get(entry["id"])
+            if entry["state"] == "gone":
                 if e is not None:
                     self._drop(e)
                 continue
-            if not ent.get("models"):
+            if not entry.get("models"):
                 continue
             if e is None:
-                old = self.by_addr.get(ent["addr"])
+                old = self.by_addr.get(entry["addr"])
                 if old is not None:  # a new life at an address ends the one that was there
                     self._drop(old)
-                peers = self.peers.setdefault(ent["service"], PeerStatistics())
+                peers = self.peers.setdefault(entry["service"], PeerStatistics())
                 e = Engine(
-                    ent["id"], ent["addr"], ent["service"], ent["zone"], ent["slots"], fitness=ReplicaHealth(peers)
+                    entry["id"],
+                    entry["addr"],
+                    entry["service"],
+                    entry["zone"],
+                    entry["slots"],
+                    health=ReplicaHealth(peers),
                 )
-                self.all[e.iid] = self.by_addr[e.addr] = e
+                self.all[e.iid] = self.by_addr[e.address] = e
                 self._listed.clear()
-            e.draining = ent["state"] == "draining"
-            was, e.silent = e.silent, bool(ent.get("silent"))
+            e.draining = entry["state"] == "draining"
+            was, e.silent = e.silent, bool(entry.get("silent"))
             if was and not e.silent:
-                e.fitness.hint()
-            for model, rev in ent["models"].items():
+                e.health.hint()
+            for model, rev in entry["models"].items():
                 e.proven(model, rev)
 
     def count(self, service: str) -> int:
@@ -95,9 +100,9 @@
 
     def _drop(self, e: Engine) -> None:
         self.all.pop(e.iid, None)
-        self.peers[e.service].leave(e.fitness)
-        if self.by_addr.get(e.addr) is e:
-            del self.by_addr[e.addr]
+        self.peers[e.service].leave(e.health)
+        if self.by_addr.get(e.address) is e:
+            del self.by_addr[e.address]
         self._listed.clear()
 
     def of(self, service: str) -> list[Engine]:
--- a/archhatch/rollout_controller/leadership_term.py
+++ b/archhatch/rollout_controller/leadership_term.py
@@ -26,12 +26,12 @@
     """Begins by reading what so many stores hold of the run that no acknowledged record can be missed, then serves it
     until another's term is higher.
 
-    >>> # reign = LeadershipTerm(store, "service", term); await reign.begin()
+    >>> # leadership = LeadershipTerm(store, "service", term); await leadership.begin()
     """
 
     def __init__(self, store, run: str, term: int):
-        self.st, self.run, self.term = store, run, term
-        self.lots: dict[str, BatchJob] = {}
+        self.store, self.run, self.term = store, run, term
+        self.batch_jobs: dict[str, BatchJob] = {}
         self.order_from: dict[str, float] = {}  # replica -> when it may have orders of this holder
         self.began = store.clock.now()
         self.window_recs: list = []  # what the stores told of the partitions' windows
@@ -60,38 +60,38 @@
             raise
 
     async def _begin(self) -> None:
-        st = self.st
+        store = self.store
         while self.state == "reading" and not await self.takeover.gather():
-            await asyncio.sleep(st.beat_s)
+            await asyncio.sleep(store.heartbeat_interval_s)
         if self.state != "reading":
             return
         self.gathered()
         self.progress()
-        st.log.info("run {}: held under term {} with {} lots", self.run, self.term, len(self.lots))
-        st.ctr.add("reign.begun")
-        for lot in list(self.lots.values()):
-            st.board.touch(("lot", lot.lid))
-        st.board.touch("work")
-        st.board.touch("members")  # what lacks copies is repaired at once
+        store.log.info("run {}: held under term {} with {} lots", self.run, self.term, len(self.batch_jobs))
+        store.counters.add("reign.begun")
+        for batch_job in list(self.batch_jobs.values()):
+            store.state_board.touch(("lot", batch_job.job_id))
+        store.state_board.touch("work")
+        store.state_board.touch("members")  # what lacks copies is repaired at once
         await self.takeover.take_up_ended()
 
     def over(self) -> None:
         if self.state != "over":
             self.deposed()
-            self.ended_at = self.st.clock.now()
-            self.st.ctr.add("reign.over")
-            self.st.log.info("run {}: term {} is over", self.run, self.term)
+            self.ended_at = self.store.clock.now()
+            self.store.counters.add("reign.over")
+            self.store.log.info("run {}: term {} is over", self.run, self.term)
             for task in self._copying.values():
                 task.cancel()  # nothing of this term is answered any more; its waiters are told DeposedError
-            for lid in self.lots:
-                self.st.board.touch(("lot", lid))
-            self.st.board.touch("work")
+            for job_id in self.batch_jobs:
+                self.store.state_board.touch(("lot", job_id))
+            self.store.state_board.touch("work")
 
     # -- what others are told
 
     def progress(self) -> None:
         """Something that this term waits for has been reached."""
-        self._progress_at = self.st.clock.now()
+        self._progress_at = self.store.clock.now()
 
     def note_progress(self) -> None:
         """Called at each heartbeat: a holder that enough stores confirm is making progress."""
@@ -100,37 +100,39 @@
 
     def leading(self) -> Leading:
         """What a heartbeat says of this run."""
-        return Leading(self.term, self.st.clock.now() - self._progress_at, self.mending.spared)
+        return Leading(self.term, self.store.clock.now() - self._progress_at, self.mending.spared)
 
     # -- serving
 
     def fresh(self) -> bool:
         """Whether enough stores said, not long ago, that they know no higher term: then no other holder has listed."""
-        return self.state == "holding" and self.st.confirmed(self.run, self.term, self.st.boot.secs("SettleMs", 0.5))
+        return self.state == "holding" and self.store.confirmed(
+            self.run, self.term, self.store.settings.seconds("SettleMs", 0.5)
+        )
 
     def may_order(self, iid: str | None = None) -> bool:
         """Whether this node may order weights right now: at all, or from one replica."""
         return (
             self.state == "holding"
-            and (iid is None or self.st.clock.now() >= self.order_from.get(iid, 0.0))
-            and self.st.confirmed(self.run, self.term, self.st.boot.secs("LeaseMs", 1 / 3))
+            and (iid is None or self.store.clock.now() >= self.order_from.get(iid, 0.0))
+            and self.store.confirmed(self.run, self.term, self.store.settings.seconds("LeaseMs", 1 / 3))
         )
 
     # -- copying: the reign's own tasks do it, so that it goes on whatever happens to those who wait
 
-    async def _copy(self, recs: list, lot: BatchJob | None) -> None:
+    async def _copy(self, records: list, batch_job: BatchJob | None) -> None:
         """Have records copied; returns when enough stores have them. Whoever asks for the same waits for the same."""
-        key = place(recs[0])
+        key = place(records[0])
         task = self._copying.get(key)
         if task is None:
-            task = self._copying[key] = self.st.crew.once("records", self._copy_on, key, recs, lot)
+            task = self._copying[key] = self.store.task_group.once("records", self._copy_on, key, records, batch_job)
         await asyncio.wait({task})  # unlike an await of the task, this leaves it running if the waiter is cancelled
         if task.cancelled() or task.result() is not True:
             raise DeposedError(self.run)
 
-    async def _copy_on(self, key: tuple, recs: list, lot: BatchJob | None) -> bool:
+    async def _copy_on(self, key: tuple, records: list, batch_job: BatchJob | None) -> bool:
         try:
-            await self.st.copier.put(self.run, self.term, recs)
+            await self.store.replicator.put(self.run, self.term, records)
         except DeposedError:
             self.over()
             return False
@@ -140,122 +142,126 @@
         finally:
             self._copying.pop(key, None)
         if key[0] == "L":
-            self.lots.setdefault(lot.lid, lot)
-            self.st.ctr.add("lot.taken")
-            self.st.board.touch("work")
+            self.batch_jobs.setdefault(batch_job.job_id, batch_job)
+            self.store.counters.add("lot.taken")
+            self.store.state_board.touch("work")
         else:
-            self.advance(lot)
-            self.st.board.touch(("lot", lot.lid))
-        self.mending.copied(lot, recs)
+            self.advance(batch_job)
+            self.store.state_board.touch(("lot", batch_job.job_id))
+        self.mending.copied(batch_job, records)
         return True
 
-    def copying(self, rec: Record) -> bool:
+    def copying(self, record: Record) -> bool:
         """Whether a record is being copied; it is acknowledged only when enough stores that stay have it."""
-        return place(rec) in self._copying
+        return place(record) in self._copying
 
     def under_way(self) -> set:
         """The places of all records that are being copied."""
         return set(self._copying)
 
-    def advance(self, lot: BatchJob) -> bool:
+    def advance(self, batch_job: BatchJob) -> bool:
         """List what has its copies, and all before it; whether there was any."""
-        before = lot.listed
-        while lot.listed < len(lot.results) and self.st.copier.enough(lot.results[lot.listed]):
-            lot.listed += 1
-        return lot.listed > before
+        before = batch_job.listed
+        while batch_job.listed < len(batch_job.results) and self.store.replicator.enough(
+            batch_job.results[batch_job.listed]
+        ):
+            batch_job.listed += 1
+        return batch_job.listed > before
 
     async def put(self, head: dict, body: bytes) -> None:
         """Take a lot, once; returns when enough stores have it."""
         self.offered.add(head["lot"])
-        if head["lot"] in self.lots:
+        if head["lot"] in self.batch_jobs:
             return
-        rec = Record({"k": "L", "lot": head["lot"], "run": self.run, "host": head["host"], "path": head["path"]}, body)
+        record = Record(
+            {"k": "L", "lot": head["lot"], "run": self.run, "host": head["host"], "path": head["path"]}, body
+        )
         if head.get("tenant") is not None:
-            rec.head["tenant"] = head["tenant"]
-        lot = None
-        if place(rec) not in self._copying:
-            lot = read_job(rec.head, body, self.st.clock.now())
-            lot.base = rec.head["base"] = self._offsets(lot.model, lot.total)
-            lot.recs.append(rec)
-        await self._copy([rec], lot)
-
-    def _offsets(self, part: str, count: int) -> int:
+            record.head["tenant"] = head["tenant"]
+        batch_job = None
+        if place(record) not in self._copying:
+            batch_job = read_job(record.head, body, self.store.clock.now())
+            batch_job.base = record.head["base"] = self._offsets(batch_job.model, batch_job.total)
+            batch_job.records.append(record)
+        await self._copy([record], batch_job)
+
+    def _offsets(self, shard: str, count: int) -> int:
         """Room for a lot's items in the partition of its model: the first of so many offsets."""
-        at = self.next.get(part, 0)
-        self.next[part] = at + count
+        at = self.next.get(shard, 0)
+        self.next[shard] = at + count
         return at
 
-    async def note(self, rec) -> None:
+    async def note(self, record) -> None:
         """Have a record of a partition's window synced with its copies; DeposedError if another leads."""
-        await self.st.copier.put(self.run, self.term, [rec])
+        await self.store.replicator.put(self.run, self.term, [record])
 
     async def intend(self, iid: str) -> float:
         """Have enough stores know that an order is about to be sent to a replica; the time until which it may be."""
-        began = self.st.clock.now()
+        began = self.store.clock.now()
         # not a task of the reign: without the one that waits, no order is sent, and the note binds nobody
-        await self.st.copier.put(
+        await self.store.replicator.put(
             self.run,
             self.term,
             [Record({"k": "O", "lot": "", "run": self.run, "iid": iid, "term": self.term, "t": self.tick()})],
         )
-        return began + self.st.boot.secs("LeaseMs", ORDER)
+        return began + self.store.settings.seconds("LeaseMs", ORDER)
 
     def tick(self) -> float:
         """Seconds of this reign by this node's steady clock: borne by records, so that others can tell how old a note
         is at least."""
-        return round(self.st.clock.now() - self.began, 3)
-
-    async def end(self, lid: str) -> None:
-        lot = self.lots[lid]
-        lot.ended, lot.ended_at = True, lot.ended_at or self.st.clock.now()
-        lot.let_items_go()
-        self.st.board.touch("work")
-        rec = next((r for r in lot.recs if r.head["k"] == "E"), None)
-        if rec is None:
-            rec = Record({"k": "E", "lot": lid, "run": self.run})
-            lot.recs.append(rec)
-        if not self.st.copier.enough(rec):
-            await self._copy([rec], lot)
-
-    async def list_result(self, lot: BatchJob, iid: str, doc: dict) -> None:
+        return round(self.store.clock.now() - self.began, 3)
+
+    async def end(self, job_id: str) -> None:
+        batch_job = self.batch_jobs[job_id]
+        batch_job.ended, batch_job.ended_at = True, batch_job.ended_at or self.store.clock.now()
+        batch_job.let_items_go()
+        self.store.state_board.touch("work")
+        record = next((r for r in batch_job.records if r.head["k"] == "E"), None)
+        if record is None:
+            record = Record({"k": "E", "lot": job_id, "run": self.run})
+            batch_job.records.append(record)
+        if not self.store.replicator.enough(record):
+            await self._copy([record], batch_job)
+
+    async def list_result(self, batch_job: BatchJob, iid: str, doc: dict) -> None:
         """Give an item its position; it is listed once enough stores hold it and all before it are."""
-        if iid in lot.done or self.state != "holding" or lot.ended:
+        if iid in batch_job.done or self.state != "holding" or batch_job.ended:
             return
-        lot.done.add(iid)
-        rec = Record(
+        batch_job.done.add(iid)
+        record = Record(
             {
                 "k": "R",
-                "lot": lot.lid,
+                "lot": batch_job.job_id,
                 "run": self.run,
-                "pos": len(lot.results),
+                "pos": len(batch_job.results),
                 "term": self.term,
                 "item": iid,
                 "t": self.tick(),
             },
             encode_kept(doc),
         )
-        lot.results.append(rec)
-        lot.recs.append(rec)
-        await self._copy([rec], lot)
+        batch_job.results.append(record)
+        batch_job.records.append(record)
+        await self._copy([record], batch_job)
 
-    async def read(self, lid: str, after: int, hold: float) -> bytes | None:
+    async def read(self, job_id: str, after: int, hold: float) -> bytes | None:
         """A page of results; None when this node cannot be sure."""
-        st = self.st
-        end = st.clock.now() + hold
+        store = self.store
+        end = store.clock.now() + hold
         while True:
             if not self.fresh():
                 return None
-            lot = self.lots[lid]
-            turn = st.board.turn(("lot", lid))
-            left = end - st.clock.now()
-            if lot.listed > after or left <= 0 or lot.listed == lot.total:
-                rows, nxt = lot.page(after)
-                return b'{"Total":%d,"NextToken":%d,"ResultList":[%s]}' % (lot.total, nxt, b",".join(rows))
-            await st.board.news(("lot", lid), turn, left)
-
-    def item(self, lid: str, iid: str) -> bytes | None:
-        lot = self.lots[lid]
-        it = lot.items.get(iid)
+            batch_job = self.batch_jobs[job_id]
+            turn = store.state_board.turn(("lot", job_id))
+            left = end - store.clock.now()
+            if batch_job.listed > after or left <= 0 or batch_job.listed == batch_job.total:
+                rows, nxt = batch_job.page(after)
+                return b'{"Total":%d,"NextToken":%d,"ResultList":[%s]}' % (batch_job.total, nxt, b",".join(rows))
+            await store.state_board.wait_for_change(("lot", job_id), turn, left)
+
+    def item(self, job_id: str, iid: str) -> bytes | None:
+        batch_job = self.batch_jobs[job_id]
+        it = batch_job.items.get(iid)
         return None if it is None else base64.b64decode(it.payload)
 
     # -- repair
@@ -270,20 +276,22 @@
 
     def forget(self) -> list:
         """Lots that are ended and older than StatusS."""
-        now, keep = self.st.clock.now(), self.st.boot.secs("StatusS")
+        now, keep = self.store.clock.now(), self.store.settings.seconds("StatusS")
         old = [
-            lid for lid, lot in self.lots.items() if lot.ended and now - lot.taken > keep and now - lot.ended_at > keep
+            job_id
+            for job_id, batch_job in self.batch_jobs.items()
+            if batch_job.ended and now - batch_job.taken > keep and now - batch_job.ended_at > keep
         ]
-        for lid in old:
-            del self.lots[lid]
+        for job_id in old:
+            del self.batch_jobs[job_id]
         return old
 
 
-async def fetch_over(store, sid: str, addr: str, lid: str, poss: list, lot: bool):
+async def fetch_over(store, sid: str, address: str, job_id: str, poss: list, batch_job: bool):
     """Records of a lot from another store, or None."""
     try:
-        code, _, raw = await store.lines.to(addr).call(
-            "shelf.fetch", {"to": sid, "lot": lid, "poss": poss, "want_lot": lot}, secs=store.quiet_s * 2
+        code, _, raw = await store.connections.to(address).call(
+            "shelf.fetch", {"to": sid, "lot": job_id, "poss": poss, "want_lot": batch_job}, timeout_s=store.quiet_s * 2
         )
     except CallError:
         return None
--- a/archhatch/rollout_controller/scoring.py
+++ b/archhatch/rollout_controller/scoring.py
@@ -17,11 +17,11 @@
 class Scoring:
     """score() gives the seal of a reward call's 2xx, or None once the call failed for good.
 
-    >>> # scoring = Scoring(store, lull); crew.keep("scoring", scoring.run); seal = await scoring.score(work, key)
+    >>> # scoring = Scoring(store, lull); task_group.keep("scoring", scoring.run); seal = await scoring.score(work, key)
     """
 
     def __init__(self, store, lull: LoadLimit):
-        self.st, self.lull = store, lull
+        self.store, self.lull = store, lull
         self.inbox: list = []
         self.count = itertools.count()
 
@@ -30,32 +30,32 @@
         while True:
             fut = asyncio.get_running_loop().create_future()
             heapq.heappush(self.inbox, (key, next(self.count), work, fut))
-            self.st.board.touch("score")
+            self.store.state_board.touch("score")
             try:
-                line, lane = await fut
+                line, route = await fut
             except asyncio.CancelledError:
                 if fut.done() and not fut.cancelled():
                     fut.result()[0].under_way -= 1  # the place came just as the lot ended
-                    self.st.board.touch("score")
+                    self.store.state_board.touch("score")
                 raise
-            ans = await self._call(work, line, lane)
-            if ans.good:
-                return next(v for k, v in ans.heads if k.lower() == SEAL.lower())
-            self.st.ctr.add(f"score.{ans.ran.value}.{ans.status}")
-            if ans.ran is Ran.YES and ans.status == 500:
+            answer = await self._call(work, line, route)
+            if answer.good:
+                return next(v for k, v in answer.heads if k.lower() == SEAL.lower())
+            self.store.counters.add(f"score.{answer.ran.value}.{answer.status}")
+            if answer.ran is Ran.YES and answer.status == 500:
                 work.score_fails += 1
-                if work.score_fails >= lane.sends:
+                if work.score_fails >= route.sends:
                     return None
             else:
-                await asyncio.sleep(self.st.gap_s() * 0.1)
+                await asyncio.sleep(self.store.gap_s() * 0.1)
 
     async def run(self) -> None:
         """Give places to those who wait, as they come free."""
-        st, turn = self.st, 0
+        store, turn = self.store, 0
         while True:
             while self._place_one():
                 pass
-            turn = await st.board.news("score", turn, st.beat_s * 0.5)
+            turn = await store.state_board.wait_for_change("score", turn, store.heartbeat_interval_s * 0.5)
 
     def _place_one(self) -> bool:
         """Give a place to the first call that can have one; those that must wait do not hold up the others."""
@@ -73,43 +73,45 @@
 
     def _place(self, call, full: set) -> bool:
         """Whether a call got a place; full: services that are known to have none."""
-        st, work = self.st, call[2]
+        store, work = self.store, call[2]
         may_send = getattr(work, "may_send", None)
         if may_send is not None and not may_send():
             return False  # its leader was not heard of late: the lot may be ended
         sc = work.item.scorer
-        lane = st.plan.lane(sc["HostName"], sc["Path"].split("?", 1)[0])
-        service = lane.pick() if lane is not None else None
+        route = store.plan.route(sc["HostName"], sc["Path"].split("?", 1)[0])
+        service = route.pick() if route is not None else None
         if service is None or service in full:
             return False
-        line = st.picker.pick(service, set(), st.clock.now(), lane)
-        if line is None or line.under_way >= self.lull.places(service, line.slots, len(st.picker.by_service[service])):
+        line = store.load_balancer.pick(service, set(), store.clock.now(), route)
+        if line is None or line.under_way >= self.lull.places(
+            service, line.slots, len(store.load_balancer.by_service[service])
+        ):
             full.add(service)
             return False
         line.under_way += 1
-        call[3].set_result((line, lane))
+        call[3].set_result((line, route))
         return True
 
-    async def _call(self, work, line, lane):
-        st, began, sc = self.st, self.st.clock.now(), work.item.scorer
+    async def _call(self, work, line, route):
+        store, began, sc = self.store, self.store.clock.now(), work.item.scorer
         heads = [("Host", sc["HostName"]), (ECHO, sc["InstanceId"])]
-        st.ctr.add("score.send")
+        store.counters.add("score.send")
         try:
-            ans = await st.caller.send(
-                line.addr,
+            answer = await store.upstream_client.send(
+                line.address,
                 line.iid,
                 "POST",
                 sc["Path"],
                 heads,
                 base64.b64decode(sc.get("Payload", "")),
                 sc["InstanceId"],
-                min(lane.timeout_s, lane.aim_s * 2),
+                min(route.timeout_s, route.aim_s * 2),
                 AGAIN,
                 getattr(work, "may_send", None),
             )
         finally:
             line.under_way -= 1
-            st.board.touch("score")
-        now = st.clock.now()
-        st.picker.judge(line, ans, now, now - began, lane.aim_s * 0.3)
-        return ans
+            store.state_board.touch("score")
+        now = store.clock.now()
+        store.load_balancer.judge(line, answer, now, now - began, route.aim_s * 0.3)
+        return answer
--- a/archhatch/rollout_controller/takeover.py
+++ b/archhatch/rollout_controller/takeover.py
@@ -16,7 +16,7 @@
 class Copies:
     """The records of one lot that were found, here or at other stores."""
 
-    lot: Record | None
+    batch_job: Record | None
     end: Record | None
     results: dict[int, Record] = field(default_factory=dict)  # position -> the record of the chosen term
 
@@ -24,11 +24,11 @@
 class Takeover:
     """The reading part of one term; what it finds is put into the reign.
 
-    >>> # takeover = Takeover(reign); while not await takeover.gather(): ...; await takeover.take_up_ended()
+    >>> # takeover = Takeover(leadership); while not await takeover.gather(): ...; await takeover.take_up_ended()
     """
 
-    def __init__(self, reign):
-        self.reign, self.st = reign, reign.st
+    def __init__(self, leadership):
+        self.leadership, self.store = leadership, leadership.store
         self._addrs: dict[str, str] = {}  # the stores that were asked
         self._heard: set = set()  # the stores that have answered
 
@@ -36,42 +36,44 @@
 
     async def gather(self) -> bool:
         """Ask all stores for the run, and take up its open lots; False if it is to be tried again."""
-        st, reign = self.st, self.reign
+        store, leadership = self.store, self.leadership
         # from here on no older holder's word ends the membership of a store that this gather counts on
-        code, doc = await st.news.do("plan", "run.begin", {"run": reign.run, "term": reign.term})
+        code, doc = await store.config_watcher.do("plan", "run.begin", {"run": leadership.run, "term": leadership.term})
         if code == 2018:
-            raise DeposedError(reign.run)
-        if code != 1000 or st.id not in doc["stores"]:
+            raise DeposedError(leadership.run)
+        if code != 1000 or store.id not in doc["stores"]:
             return False
-        self._addrs = {sid: st.addr_of(member) for sid, member in doc["stores"].items()}
+        self._addrs = {sid: store.addr_of(member) for sid, member in doc["stores"].items()}
         told = await self._ask_all(doc["stores"])
         if told is None:
             return False
         self.heed_orders(list(told.values()))
-        reign.window_recs = [row for out in told.values() for row in out["windows"]]
+        leadership.window_recs = [row for out in told.values() for row in out["windows"]]
         seen: dict[str, dict] = {}
         for sid, out in told.items():
-            for lid, said in out["lots"].items():
-                seen.setdefault(lid, {})[sid] = said
-        reign.pending = {lid: said for lid, said in seen.items() if any(x["end"] for x in said.values())}
-        return await self._adopt_all({lid: said for lid, said in seen.items() if lid not in reign.pending})
+            for job_id, said in out["lots"].items():
+                seen.setdefault(job_id, {})[sid] = said
+        leadership.pending = {job_id: said for job_id, said in seen.items() if any(x["end"] for x in said.values())}
+        return await self._adopt_all(
+            {job_id: said for job_id, said in seen.items() if job_id not in leadership.pending}
+        )
 
     async def _ask_all(self, members: dict) -> dict | None:
         """What the stores tell, this one among them; None if too few answered. DeposedError if one knows more."""
-        st, reign = self.st, self.reign
+        store, leadership = self.store, self.leadership
         told: dict[str, dict] = {}
-        promise = {"run": reign.run, "term": reign.term}
+        promise = {"run": leadership.run, "term": leadership.term}
         tasks = {
-            asyncio.ensure_future(st.ask_store(sid, addr, "shelf.prepare", promise)): sid
-            for sid, addr in self._addrs.items()
+            asyncio.ensure_future(store.ask_store(sid, address, "shelf.prepare", promise)): sid
+            for sid, address in self._addrs.items()
         }
         wait = set(tasks)
         try:
             while wait:
-                sure = st.id in told and st.quorum.heard(told, members)
+                sure = store.id in told and store.quorum.heard(told, members)
                 # once it is sure, the others are given a moment: copies that they have need not be made anew
                 done, wait = await asyncio.wait(
-                    wait, timeout=st.beat_s if sure else None, return_when=asyncio.FIRST_COMPLETED
+                    wait, timeout=store.heartbeat_interval_s if sure else None, return_when=asyncio.FIRST_COMPLETED
                 )
                 if not done:
                     break
@@ -80,18 +82,18 @@
                     if out is None:
                         continue
                     if not out["ok"]:
-                        raise DeposedError(reign.run)
+                        raise DeposedError(leadership.run)
                     told[tasks[task]] = out
                     self._note_heard(tasks[task])
         finally:
             for task in wait:
                 task.cancel()
-        return told if st.id in told and st.quorum.heard(told, members) else None
+        return told if store.id in told and store.quorum.heard(told, members) else None
 
     def _note_heard(self, sid: str) -> None:
         if sid not in self._heard:
             self._heard.add(sid)
-            self.reign.progress()
+            self.leadership.progress()
 
     def heed_orders(self, told: list) -> None:
         """An earlier holder meant to order from these replicas: wait out its right to, and then the lease.
@@ -99,9 +101,9 @@
         How long ago that was, a store knows since its start. Records of the same term that bear a later time of that
         holder's clock prove more, also after a loss of power by all.
         """
-        now, wait = self.st.clock.now(), self.st.boot.secs("LeaseMs", 1 + ORDER)
+        now, wait = self.store.clock.now(), self.store.settings.seconds("LeaseMs", 1 + ORDER)
         tick = max((tuple(out["tick"]) for out in told if out["tick"]), default=(0, 0.0))
-        order_from = self.reign.order_from
+        order_from = self.leadership.order_from
         for out in told:
             for iid, age in out["orders"].items():
                 term, t = out["noted"].get(iid, (tick[0], tick[1]))
@@ -116,52 +118,54 @@
 
     async def take_up_ended(self) -> None:
         """Ended lots follow once the open ones are served: nobody waits for their results."""
-        reign = self.reign
-        while reign.pending and reign.state == "holding":
-            if not await self._adopt_all(reign.pending):
-                await asyncio.sleep(self.st.beat_s)
+        leadership = self.leadership
+        while leadership.pending and leadership.state == "holding":
+            if not await self._adopt_all(leadership.pending):
+                await asyncio.sleep(self.store.heartbeat_interval_s)
 
     async def _adopt_all(self, seen: dict) -> bool:
         """Take up lots; True if that went well for all of them."""
         # some side by side: what they copy to a store shares calls and syncs; not all, or fetches outlast their time
         few = asyncio.Semaphore(ABREAST)
 
-        async def adopt(lid):
+        async def adopt(job_id):
             async with few:
-                well = await self._adopt(lid, seen[lid])
+                well = await self._adopt(job_id, seen[job_id])
                 if well:
-                    self.reign.pending.pop(lid, None)
-                    self.reign.progress()
+                    self.leadership.pending.pop(job_id, None)
+                    self.leadership.progress()
                 return well
 
-        tasks = [asyncio.ensure_future(adopt(lid)) for lid in sorted(seen)]
+        tasks = [asyncio.ensure_future(adopt(job_id)) for job_id in sorted(seen)]
         try:
             return all(await asyncio.gather(*tasks))
         finally:
             for task in tasks:
                 task.cancel()
 
-    async def _adopt(self, lid: str, seen: dict) -> bool:
+    async def _adopt(self, job_id: str, seen: dict) -> bool:
         """Take up one lot from what the stores said; positions without enough copies are written anew."""
-        reign = self.reign
+        leadership = self.leadership
         if not any(said["lot"] for said in seen.values()):
             return True  # only an end or results without the lot: it was never accepted
         chosen = choose(seen)
-        copies = await self._collect(lid, seen, chosen)
+        copies = await self._collect(job_id, seen, chosen)
         if copies is None:
             return False
-        lot, again = self._rebuild(lid, seen, chosen, copies)
+        batch_job, again = self._rebuild(job_id, seen, chosen, copies)
         if again:
-            self.st.ctr.add("adopt.again", len(again))
-            await self.st.copier.put(reign.run, reign.term, again)
-        lot.listed = len(lot.results)
-        reign.lots[lid] = lot
-        reign.next[lot.model] = max(reign.next.get(lot.model, 0), lot.base + lot.total)
+            self.store.counters.add("adopt.again", len(again))
+            await self.store.replicator.put(leadership.run, leadership.term, again)
+        batch_job.listed = len(batch_job.results)
+        leadership.batch_jobs[job_id] = batch_job
+        leadership.next[batch_job.model] = max(
+            leadership.next.get(batch_job.model, 0), batch_job.base + batch_job.total
+        )
         return True
 
-    async def _collect(self, lid: str, seen: dict, chosen: list) -> Copies | None:
+    async def _collect(self, job_id: str, seen: dict, chosen: list) -> Copies | None:
         """The records of a lot, fetched from other stores where they are not here; None if some are not to be had."""
-        mine = self.st.shelf.lots.get(lid) or {"lot": None, "results": {}, "end": None}
+        mine = self.store.record_store.batch_jobs.get(job_id) or {"lot": None, "results": {}, "end": None}
         here = {
             pos: mine["results"][pos]
             for pos, (term, _) in enumerate(chosen)
@@ -169,55 +173,57 @@
         }
         copies = Copies(mine["lot"], mine["end"], here)
         for sid, said in seen.items():
-            if sid != self.st.id and not await self._fetch(sid, lid, said, chosen, copies):
+            if sid != self.store.id and not await self._fetch(sid, job_id, said, chosen, copies):
                 return None
-        whole = copies.lot is not None and all(pos in copies.results for pos in range(len(chosen)))
+        whole = copies.batch_job is not None and all(pos in copies.results for pos in range(len(chosen)))
         return copies if whole else None
 
-    async def _fetch(self, sid: str, lid: str, said: dict, chosen: list, copies: Copies) -> bool:
+    async def _fetch(self, sid: str, job_id: str, said: dict, chosen: list, copies: Copies) -> bool:
         """Have a store's copies of what is still lacking; False if it does not answer."""
         want = [
             pos
             for pos, (term, _) in enumerate(chosen)
             if pos not in copies.results and any(pos == row[0] and term == row[1] for row in said["results"])
         ]
-        need_lot = copies.lot is None and said["lot"]
+        need_lot = copies.batch_job is None and said["lot"]
         if not want and not need_lot and not (said["end"] and copies.end is None):
             return True
-        recs = await self.st.fetch(sid, self._addrs[sid], lid, want, need_lot)
-        if recs is None:
+        records = await self.store.fetch(sid, self._addrs[sid], job_id, want, need_lot)
+        if records is None:
             return False
-        self.reign.progress()
-        for rec in recs:
-            if rec.head["k"] == "L":
-                copies.lot = copies.lot or rec
-            elif rec.head["k"] == "E":
-                copies.end = copies.end or rec
-            elif rec.head["pos"] < len(chosen) and rec.head["term"] == chosen[rec.head["pos"]][0]:
-                copies.results.setdefault(rec.head["pos"], rec)
+        self.leadership.progress()
+        for record in records:
+            if record.head["k"] == "L":
+                copies.batch_job = copies.batch_job or record
+            elif record.head["k"] == "E":
+                copies.end = copies.end or record
+            elif record.head["pos"] < len(chosen) and record.head["term"] == chosen[record.head["pos"]][0]:
+                copies.results.setdefault(record.head["pos"], record)
         return True
 
-    def _rebuild(self, lid: str, seen: dict, chosen: list, copies: Copies) -> tuple[BatchJob, list]:
+    def _rebuild(self, job_id: str, seen: dict, chosen: list, copies: Copies) -> tuple[BatchJob, list]:
         """The lot as this term lists it, and the records of it that too few stores hold."""
-        st, reign = self.st, self.reign
-        mine = st.shelf.lots.get(lid) or {}
-        lot = read_job(copies.lot.head, copies.lot.body, mine.get("at", st.clock.now()))
-        lot.recs.append(Record(dict(copies.lot.head), copies.lot.body, {sid for sid, s in seen.items() if s["lot"]}))
+        store, leadership = self.store, self.leadership
+        mine = store.record_store.batch_jobs.get(job_id) or {}
+        batch_job = read_job(copies.batch_job.head, copies.batch_job.body, mine.get("at", store.clock.now()))
+        batch_job.records.append(
+            Record(dict(copies.batch_job.head), copies.batch_job.body, {sid for sid, s in seen.items() if s["lot"]})
+        )
         where = {sid: {tuple(row) for row in said["results"]} for sid, said in seen.items()}
         for pos, (term, item) in enumerate(chosen):
             held = {sid for sid, rows in where.items() if (pos, term, item) in rows}
-            rec = Record(dict(copies.results[pos].head), copies.results[pos].body, held)
-            if not st.copier.enough(rec):
-                rec = Record({**rec.head, "term": reign.term, "t": reign.tick()}, rec.body)
-            lot.results.append(rec)
-            lot.recs.append(rec)
-            lot.done.add(item)
+            record = Record(dict(copies.results[pos].head), copies.results[pos].body, held)
+            if not store.replicator.enough(record):
+                record = Record({**record.head, "term": leadership.term, "t": leadership.tick()}, record.body)
+            batch_job.results.append(record)
+            batch_job.records.append(record)
+            batch_job.done.add(item)
         if copies.end is not None:
-            lot.ended, lot.ended_at = True, st.clock.now()
-            lot.let_items_go()
+            batch_job.ended, batch_job.ended_at = True, store.clock.now()
+            batch_job.let_items_go()
             held = {sid for sid, said in seen.items() if said["end"]}
-            lot.recs.append(Record(dict(copies.end.head), copies.end.body, held))
-        return lot, [rec for rec in lot.recs if not st.copier.enough(rec)]
+            batch_job.records.append(Record(dict(copies.end.head), copies.end.body, held))
+        return batch_job, [record for record in batch_job.records if not store.replicator.enough(record)]
 
 
 def choose(seen: dict) -> list:
--- a/archhatch/rollout_controller/weight_orders.py
+++ b/archhatch/rollout_controller/weight_orders.py
@@ -48,122 +48,124 @@
 class WeightOrders:
     """Brings every engine to the newest named version, a few at a time.
 
-    >>> # orders = WeightOrders(store); crew.keep("orders", orders.run)
+    >>> # orders = WeightOrders(store); task_group.keep("orders", orders.run)
     """
 
     def __init__(self, store):
-        self.st = store
-        self.room = LoadConcurrencyLimit(store.boot.secs("LeaseMs", 0.1))
+        self.store = store
+        self.room = LoadConcurrencyLimit(store.settings.seconds("LeaseMs", 0.1))
         self.out = 0
         self.doubts: set = set()
 
     def doubt(self, e) -> None:
         """An engine turned a version away that it should have."""
         self.doubts.add(e.iid)
-        self.st.board.touch("orders")
+        self.store.state_board.touch("orders")
 
     async def run(self) -> None:
-        st, turn = self.st, 0
+        store, turn = self.store, 0
         while True:
             for iid in list(self.doubts):
                 self.doubts.discard(iid)
-                e = st.engines.all.get(iid)
+                e = store.engines.all.get(iid)
                 if e is not None and not e.ordering:
-                    st.crew.once("doubt", self._clear_up, e)
+                    store.task_group.once("doubt", self._clear_up, e)
             while self._start_one():
                 pass
-            turn = await st.board.news("orders", turn, st.beat_s)
+            turn = await store.state_board.wait_for_change("orders", turn, store.heartbeat_interval_s)
 
     def _start_one(self) -> bool:
-        st, now = self.st, self.st.clock.now()
-        self.room.resize(len(st.engines.all))
+        store, now = self.store, self.store.clock.now()
+        self.room.resize(len(store.engines.all))
         if not self.room.may(self.out):
             return False
         best = None
-        named = st.named()
-        for reign, run in [(r, m) for r in st.reigns.values() for m in st.models_of(r.run)]:
+        named = store.named()
+        for leadership, run in [(r, m) for r in store.leaderships.values() for m in store.models_of(r.run)]:
             target = named.get(run, 1)
-            if not reign.may_order():
+            if not leadership.may_order():
                 continue
-            engines = [e for e in st.engines.of(reign.run) if not e.draining]
-            if not self._wanted(reign, run, engines, target):
+            engines = [e for e in store.engines.of(leadership.run) if not e.draining]
+            if not self._wanted(leadership, run, engines, target):
                 continue
-            urgent = not any(e.revs.get(run, 1) >= target for e in engines) or self._starved(reign, run, engines)
+            urgent = not any(e.revs.get(run, 1) >= target for e in engines) or self._starved(leadership, run, engines)
             for e in engines:
-                if e.revs.get(run, 1) >= target or e.ordering or e.fitness.look(now) == "resting" or e.silent:
+                if e.revs.get(run, 1) >= target or e.ordering or e.health.look(now) == "resting" or e.silent:
                     continue
-                if e.pause_until > now or not reign.may_order(e.iid):
+                if e.pause_until > now or not leadership.may_order(e.iid):
                     continue
                 key = (not urgent, e.running.get(run, 0), e.pace)
                 if best is None or key < best[0]:
-                    best = (key, reign, run, e, target)
+                    best = (key, leadership, run, e, target)
         if best is None:
             return False
-        _, reign, run, e, target = best
+        _, leadership, run, e, target = best
         e.ordering = True
         self.out += 1
-        st.crew.once("order", self._order, reign, run, e, target)
+        store.task_group.once("order", self._order, leadership, run, e, target)
         return True
 
-    def _wanted(self, reign, model: str, engines: list, target: int) -> bool:
+    def _wanted(self, leadership, model: str, engines: list, target: int) -> bool:
         """Whether one more engine should load: each model's even share of them does at once, more when items wait
         that no free place may run."""
         loaded = sum(1 for e in engines if e.revs.get(model, 1) >= target or model in e.held)
-        share = math.ceil(len(engines) / max(1, len(self.st.models_of(reign.run))))
+        share = math.ceil(len(engines) / max(1, len(self.store.models_of(leadership.run))))
         if loaded < share:
             return True
-        return self.st.leader.short(reign, model)
+        return self.store.leader.short(leadership, model)
 
-    def _starved(self, reign, model, engines) -> bool:
+    def _starved(self, leadership, model, engines) -> bool:
         """Whether an open lot has no engine that may make its tokens."""
         return any(
-            lot.model == model and not lot.ended and not any(e.revs.get(model, 1) >= lot.least for e in engines)
-            for lot in reign.lots.values()
+            batch_job.model == model
+            and not batch_job.ended
+            and not any(e.revs.get(model, 1) >= batch_job.least for e in engines)
+            for batch_job in leadership.batch_jobs.values()
         )
 
-    def _single(self, reign, model) -> bool:
-        plan = self.st.plan
-        for lot in reign.lots.values():
-            if not lot.ended and lot.model == model:
-                lane = plan.lane(lot.host, lot.path.split("?", 1)[0])
-                if lane is not None and lane.single:
+    def _single(self, leadership, model) -> bool:
+        plan = self.store.plan
+        for batch_job in leadership.batch_jobs.values():
+            if not batch_job.ended and batch_job.model == model:
+                route = plan.route(batch_job.host, batch_job.path.split("?", 1)[0])
+                if route is not None and route.single:
                     return True
         return False
 
-    async def _order(self, reign, run: str, e, target: int) -> None:
-        st = self.st
+    async def _order(self, leadership, run: str, e, target: int) -> None:
+        store = self.store
         try:
             e.held.add(run)
             if not await self._cleared(e):
                 return
             mode = "retain"
-            if self._single(reign, run):
+            if self._single(leadership, run):
                 mode = "hold"
-                await self._until_idle(reign, run, e)
-            if not reign.may_order() or e.iid not in st.engines.all:
+                await self._until_idle(leadership, run, e)
+            if not leadership.may_order() or e.iid not in store.engines.all:
                 return
             try:
-                until = await reign.intend(e.iid)
+                until = await leadership.intend(e.iid)
             except DeposedError:
-                reign.over()
+                leadership.over()
                 return
-            began = st.clock.now()
-            taken = await self._send(reign, run, e, max(target, st.named().get(run, 1)), mode, until)
+            began = store.clock.now()
+            taken = await self._send(leadership, run, e, max(target, store.named().get(run, 1)), mode, until)
             if taken is not Taken.NO:
                 await self._await_done(run, e, target, began, taken is Taken.YES)
         finally:
             e.ordering = False
             e.held.discard(run)
             self.out -= 1
-            st.board.touch("orders")
-            st.board.touch("work")
+            store.state_board.touch("orders")
+            store.state_board.touch("work")
 
-    async def _until_idle(self, reign, run: str, e) -> None:
+    async def _until_idle(self, leadership, run: str, e) -> None:
         """Wait for the items of a model that an engine runs, not longer than a lease."""
-        st = self.st
-        end = st.clock.now() + st.boot.secs("LeaseMs")
-        while e.running.get(run, 0) and st.clock.now() < end and reign.may_order():
-            await st.board.news("work", st.board.turn("work"), st.beat_s)
+        store = self.store
+        end = store.clock.now() + store.settings.seconds("LeaseMs")
+        while e.running.get(run, 0) and store.clock.now() < end and leadership.may_order():
+            await store.state_board.wait_for_change("work", store.state_board.turn("work"), store.heartbeat_interval_s)
 
     async def _cleared(self, e) -> bool:
         """Whether nothing is unclear of earlier orders: what got no answer may have been taken, and a report tells."""
@@ -171,20 +173,20 @@
             await self._report(e)
         if e.unclear_at is None:
             return True
-        self.st.ctr.add("order.still_unclear")
-        e.pause_until = self.st.clock.now() + self.st.gap_s()
+        self.store.counters.add("order.still_unclear")
+        e.pause_until = self.store.clock.now() + self.store.gap_s()
         return False
 
-    async def _send(self, reign, run, e, target, mode, until: float) -> Taken:
+    async def _send(self, leadership, run, e, target, mode, until: float) -> Taken:
         """Send one order; whether it is being carried out.
 
         The gate is asked when the connection is there: a node that stood still since, also while it connected, or whose
         proof of its lease is too old by then, must not order.
         """
-        st = self.st
-        gate = SendGate(lambda: st.clock.now() < until and reign.may_order(e.iid))
+        store = self.store
+        gate = SendGate(lambda: store.clock.now() < until and leadership.may_order(e.iid))
         if not gate():
-            st.ctr.add("order.too_late")
+            store.counters.add("order.too_late")
             return Taken.NO
         gate.passed = False
         doc = {
@@ -192,30 +194,30 @@
             "Model": run,
             "Revision": target,
             "Mode": mode,
-            "Owner": st.boot.node,
-            "FenceToken": reign.term,
+            "Owner": store.settings.node,
+            "FenceToken": leadership.term,
         }
         if e.count is not None:
             doc["ExpectedCount"] = e.count
-        st.ctr.add("order.send")
+        store.counters.add("order.send")
         try:
             status, not_run = await self._post(e, doc, gate)
         except NotSentError:
-            st.ctr.add("order.too_late")
+            store.counters.add("order.too_late")
             return Taken.NO
         except (aiohttp.ClientError, OSError, asyncio.TimeoutError, ValueError):
             if not gate.passed:  # there was no connection to write it on
-                e.fitness.note("vanished", st.clock.now(), st.gap_s() * LAG_GAPS)
+                e.health.note("vanished", store.clock.now(), store.gap_s() * LAG_GAPS)
                 return Taken.NO
             return self._unclear(e, "order.unanswered")
         return await self._heed(run, e, target, status, not_run)
 
     async def _post(self, e, doc: dict, gate: SendGate) -> tuple[int, bool]:
         """The status of a whole answer to an order, and whether it says that nothing was done."""
-        st = self.st
-        async with asyncio.timeout(st.gap_s() * 2):
-            async with st.caller.ask(
-                e.addr,
+        store = self.store
+        async with asyncio.timeout(store.gap_s() * 2):
+            async with store.upstream_client.ask(
+                e.address,
                 e.iid,
                 "POST",
                 "/api/order",
@@ -224,21 +226,21 @@
                 0.0,
                 "",
                 gate,
-            ) as resp:
-                self._refuse_foreign(resp)
-                await resp.read()
-                return resp.status, says_not_run(resp)
+            ) as response:
+                self._refuse_foreign(response)
+                await response.read()
+                return response.status, says_not_run(response)
 
-    def _refuse_foreign(self, resp) -> None:
-        if resp.headers.get(ECHO) or SEAL in resp.headers or resp.status < 200:
-            self.st.ctr.add("order.foreign_answer")
-            resp.close()
-            raise ForeignAnswerError(resp.headers.get(ECHO))
+    def _refuse_foreign(self, response) -> None:
+        if response.headers.get(ECHO) or SEAL in response.headers or response.status < 200:
+            self.store.counters.add("order.foreign_answer")
+            response.close()
+            raise ForeignAnswerError(response.headers.get(ECHO))
 
     async def _heed(self, run, e, target, status: int, not_run: bool) -> Taken:
         """What the answer to an order says."""
-        st = self.st
-        st.ctr.add(f"order.{status}")
+        store = self.store
+        store.counters.add(f"order.{status}")
         if status == 202:
             e.count = e.count + 1 if e.count is not None else None
             return Taken.YES
@@ -247,46 +249,46 @@
             return Taken.NO
         if status not in TURNED_AWAY and not not_run:
             return self._unclear(e, "order.unclear")  # 409 too: another is under way, or its count is not what it was
-        e.pause_until = st.clock.now() + st.gap_s()
+        e.pause_until = store.clock.now() + store.gap_s()
         if status == 421:
             await self._clear_up(e)
         return Taken.NO
 
     def _unclear(self, e, counter: str) -> Taken:
-        self.st.ctr.add(counter)
-        e.unclear_at = self.st.clock.now()
+        self.store.counters.add(counter)
+        e.unclear_at = self.store.clock.now()
         return Taken.MAYBE
 
     async def _await_done(self, run, e, target, began, sure: bool) -> None:
-        st = self.st
+        store = self.store
         alone = self.out
         pause = self.room.load_s
-        end = began + st.boot.secs("LeaseMs", 2)
-        while st.clock.now() < end and e.iid in st.engines.all:
+        end = began + store.settings.seconds("LeaseMs", 2)
+        while store.clock.now() < end and e.iid in store.engines.all:
             await asyncio.sleep(pause)
             if e.revs.get(run, 1) >= target:
                 break
             rep = await self._report(e)
             if rep is not None and not rep.get("Utilization") and e.revs.get(run, 1) < target:
-                if st.clock.now() - began > self.room.load_s + st.gap_s() * 2:
-                    st.ctr.add("order.lost")
+                if store.clock.now() - began > self.room.load_s + store.gap_s() * 2:
+                    store.counters.add("order.lost")
                     return
             pause = max(0.03, self.room.load_s * 0.15)
         if e.revs.get(run, 1) >= target:
-            st.ctr.add("order.done")
+            store.counters.add("order.done")
             if sure:  # what may have been another's order says nothing of how long a load takes
-                self.room.note(st.clock.now() - began, alone)
+                self.room.note(store.clock.now() - began, alone)
 
     async def _report(self, e) -> dict | None:
         """Read an engine's own report and fold what it shows; None if none comes, or one older than what is known."""
-        st, asked = self.st, self.st.clock.now()
-        st.ctr.add("report")
+        store, asked = self.store, self.store.clock.now()
+        store.counters.add("report")
         try:
-            async with asyncio.timeout(st.gap_s() * 2):
-                async with st.caller.ask(e.addr, e.iid, "GET", "/api/report", [], b"", 0.0) as resp:
-                    self._refuse_foreign(resp)
-                    data = await resp.read()
-                    if resp.status != 200:
+            async with asyncio.timeout(store.gap_s() * 2):
+                async with store.upstream_client.ask(e.address, e.iid, "GET", "/api/report", [], b"", 0.0) as response:
+                    self._refuse_foreign(response)
+                    data = await response.read()
+                    if response.status != 200:
                         return None
             return self._fold_report(e, orjson.loads(data), asked)
         except (aiohttp.ClientError, OSError, asyncio.TimeoutError, ValueError, KeyError, TypeError):
@@ -295,14 +297,14 @@
     def _fold_report(self, e, doc: dict, asked: float) -> dict | None:
         known, taken = e.count, int(doc["Sequence"])
         if known is not None and taken < known:
-            self.st.ctr.add("report.old")
+            self.store.counters.add("report.old")
             return None
         for m in doc.get("ModelList") or []:
             e.proven(m["Name"], int(m["Revision"]))
         if not doc.get("Utilization"):
             e.count = taken
             more = known is not None and taken > known
-            if e.unclear_at is not None and (more or asked - e.unclear_at >= self.st.gap_s() * LAG_GAPS):
+            if e.unclear_at is not None and (more or asked - e.unclear_at >= self.store.gap_s() * LAG_GAPS):
                 e.unclear_at = None
         return doc
 
@@ -311,4 +313,4 @@
         rep = await self._report(e)
         if rep is not None and not rep.get("Utilization"):
             e.revs = {m["Name"]: int(m["Revision"]) for m in rep.get("ModelList") or []}
-        self.st.board.touch("work")
+        self.store.state_board.touch("work")
--- a/archhatch/routing/patch.py
+++ b/archhatch/routing/patch.py
@@ -14,7 +14,7 @@
     {'Revision': 2, 'RouteTable': []}
     """
     out = dict(plan)
-    for key, val in change.items():
+    for key, value in change.items():
         if key not in ("Upsert", "Withdraw", "Revision"):
             raise InvalidConfigError(f"{key}: no such field of a change")
     if "Revision" not in change:
--- a/archhatch/routing/routes.py
+++ b/archhatch/routing/routes.py
@@ -82,7 +82,7 @@
 class RoutingTable:
     """A configuration made ready for look-ups.
 
-    >>> p = RoutingTable({"Revision": 1, "RouteTable": [], "ServiceTable": []}); p.lane("a", "/b") is None
+    >>> p = RoutingTable({"Revision": 1, "RouteTable": [], "ServiceTable": []}); p.route("a", "/b") is None
     True
     """
 
@@ -95,20 +95,20 @@
         self.has_tenants = bool(doc.get("TenantTable"))
         self._tenant_by_key = {key: row["Name"] for row in doc.get("TenantTable") or [] for key in row["ApiKeys"]}
         for row in doc["RouteTable"]:
-            lane = _lane(row)
-            self._hosts.setdefault(lane.host, []).append(lane)
-        for lanes in self._hosts.values():
-            lanes.sort(key=lambda x: -len(x.prefix))
+            route = _lane(row)
+            self._hosts.setdefault(route.host, []).append(route)
+        for routes in self._hosts.values():
+            routes.sort(key=lambda x: -len(x.prefix))
 
-    def lane(self, host: str, path: str) -> Route | None:
+    def route(self, host: str, path: str) -> Route | None:
         """The lane of a host and path: the longest prefix wins."""
         host = host.lower()
-        lanes = self._hosts.get(host)
-        if lanes is None and ":" in host:
-            lanes = self._hosts.get(host.rsplit(":", 1)[0])
-        for lane in lanes or ():
-            if path.startswith(lane.prefix):
-                return lane
+        routes = self._hosts.get(host)
+        if routes is None and ":" in host:
+            routes = self._hosts.get(host.rsplit(":", 1)[0])
+        for route in routes or ():
+            if path.startswith(route.prefix):
+                return route
         return None
 
     def tenant(self, key: str) -> str | None:
@@ -122,16 +122,16 @@
 
     def open_to_lots(self, host: str) -> bool:
         """Whether lots of a host may be asked for without a key: one of its rollout routes needs none."""
-        lanes = self._hosts.get(host.lower().rsplit(":", 1)[0], ())
-        return any(lane.no_auth and lane.kind in ("rollout", "batch") for lane in lanes)
+        routes = self._hosts.get(host.lower().rsplit(":", 1)[0], ())
+        return any(route.no_auth and route.kind in ("rollout", "batch") for route in routes)
 
-    def lanes(self) -> list:
+    def routes(self) -> list:
         """All lanes.
 
-        >>> RoutingTable({"Revision": 1, "RouteTable": [], "ServiceTable": []}).lanes()
+        >>> RoutingTable({"Revision": 1, "RouteTable": [], "ServiceTable": []}).routes()
         []
         """
-        return [lane for lanes in self._hosts.values() for lane in lanes]
+        return [route for routes in self._hosts.values() for route in routes]
 
     def live_services(self) -> set:
         """Services to which lanes of live requests lead.
@@ -141,10 +141,10 @@
         """
         return {
             s
-            for lanes in self._hosts.values()
-            for lane in lanes
-            if lane.kind not in ("rollout", "batch")
-            for s, _ in lane.split
+            for routes in self._hosts.values()
+            for route in routes
+            if route.kind not in ("rollout", "batch")
+            for s, _ in route.split
         }
 
     def models(self) -> dict:
--- a/archhatch/routing/schemas.py
+++ b/archhatch/routing/schemas.py
@@ -40,7 +40,7 @@
     TrafficSplit = fields.List(fields.Nested(SplitSchema))
 
     @validates_schema
-    def _whole(self, data, **kw):
+    def _whole(self, data, **kwargs):
         pre = data.get("PathPrefix", "")
         if not (pre.startswith("/") and pre.endswith("/")):
             raise ValidationError("must begin and end with a slash", "PathPrefix")
@@ -80,7 +80,7 @@
     Limits = fields.Nested(LimitsSchema)
 
     @validates_schema
-    def _together(self, data, **kw):
+    def _together(self, data, **kwargs):
         known, seen, names = {s["Name"] for s in data.get("ServiceTable", [])}, set(), set()
         if len(known) != len(data.get("ServiceTable", [])):
             raise ValidationError("two services have one name", "ServiceTable")
@@ -95,7 +95,7 @@
             names.add(r["Name"])
 
     @validates_schema
-    def _tenants(self, data, **kw):
+    def _tenants(self, data, **kwargs):
         """No two tenants share a name or a key. Messages name tenants, never keys."""
         owners: dict = {}
         names = set()
--- a/archhatch/rpc/network.py
+++ b/archhatch/rpc/network.py
@@ -23,7 +23,7 @@
     """Connections over TCP.
 
     >>> from ..runtime import Counters
-    >>> TcpNetwork().pool(Counters()).to("10.0.0.1:7380").addr
+    >>> TcpNetwork().pool(Counters()).to("10.0.0.1:7380").address
     '10.0.0.1:7380'
     """
 
--- a/archhatch/rpc/server.py
+++ b/archhatch/rpc/server.py
@@ -78,9 +78,9 @@
         self._calls: set = set()
         self._writers: set = set()
 
-    async def open(self, addr: str) -> None:
+    async def open(self, address: str) -> None:
         """Start to listen."""
-        host, port = addr.rsplit(":", 1)
+        host, port = address.rsplit(":", 1)
         self._server = await asyncio.start_server(self._serve, host, int(port), limit=1 << 20, backlog=256)
 
     def port(self) -> int:
--- a/archhatch/runtime/settings.py
+++ b/archhatch/runtime/settings.py
@@ -77,7 +77,7 @@
     seeds: tuple
     first: bool
     data_dir: str | None
-    beat_ms: float
+    heartbeat_interval_ms: float
     memory_mb: int
     fds: int
     disk_mb: int
@@ -88,37 +88,37 @@
     share_lock_s: float = 30.0
     share_locks: int = 200
     notice_key: bytes = field(default=b"", repr=False)
-    cloud: PlatformSettings | None = None
+    platform_api: PlatformSettings | None = None
 
-    def secs(self, name: str, ratio: float = 1.0) -> float:
+    def seconds(self, name: str, ratio: float = 1.0) -> float:
         """A bound in seconds, scaled.
 
-        >>> # Settings with ContactMs 3000: boot.secs("ContactMs", 0.5) == 1.5
+        >>> # Settings with ContactMs 3000: settings.seconds("ContactMs", 0.5) == 1.5
         """
-        val = self.bounds[name]
-        return (val / 1000.0 if name.endswith("Ms") else float(val)) * ratio
+        value = self.bounds[name]
+        return (value / 1000.0 if name.endswith("Ms") else float(value)) * ratio
 
 
-def _want(doc: dict, name: str, kind, dflt=None, must: bool = True):
+def _want(doc: dict, name: str, kind, default=None, must: bool = True):
     if name not in doc:
         if must:
             raise SettingsError(name, "is missing")
-        return dflt
-    val = doc[name]
-    if val is None and not must:
-        return dflt
-    if kind is float and isinstance(val, int) and not isinstance(val, bool):
-        val = float(val)
-    if not isinstance(val, kind) or (kind is int and isinstance(val, bool)):
-        raise SettingsError(name, f"must be {kind.__name__}, not {type(val).__name__}")
-    return val
-
-
-def _above(doc: dict, name: str, kind, dflt):
-    val = _want(doc, name, kind, dflt, must=False)
-    if not val > 0:
+        return default
+    value = doc[name]
+    if value is None and not must:
+        return default
+    if kind is float and isinstance(value, int) and not isinstance(value, bool):
+        value = float(value)
+    if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
+        raise SettingsError(name, f"must be {kind.__name__}, not {type(value).__name__}")
+    return value
+
+
+def _above(doc: dict, name: str, kind, default):
+    value = _want(doc, name, kind, default, must=False)
+    if not value > 0:
         raise SettingsError(name, "must be above 0")
-    return val
+    return value
 
 
 def _key(doc: dict, name: str) -> bytes:
@@ -136,38 +136,38 @@
     return key
 
 
-def _addr(name: str, val) -> str:
-    if not isinstance(val, str) or val.count(":") != 1 or not val.rsplit(":", 1)[1].isdigit():
-        raise SettingsError(name, f"must be IP:PORT, not {val!r}")
-    return val
+def _addr(name: str, value) -> str:
+    if not isinstance(value, str) or value.count(":") != 1 or not value.rsplit(":", 1)[1].isdigit():
+        raise SettingsError(name, f"must be IP:PORT, not {value!r}")
+    return value
 
 
 def _cloud(doc: dict) -> PlatformSettings | None:
     """The platform's interface; None where the settings name none."""
-    cloud = _want(doc, "CloudApi", dict, None, must=False)
-    if not cloud or not cloud.get("Duties"):
+    platform_api = _want(doc, "CloudApi", dict, None, must=False)
+    if not platform_api or not platform_api.get("Duties"):
         return None
-    duties = _want(cloud, "Duties", list)
+    duties = _want(platform_api, "Duties", list)
     if not all(isinstance(name, str) for name in duties):
         raise SettingsError("CloudApi.Duties", "must list names")
-    rate = _want(cloud, "DutyPerS", float, 10.0, must=False)
+    rate = _want(platform_api, "DutyPerS", float, 10.0, must=False)
     if not rate > 0:
         raise SettingsError("CloudApi.DutyPerS", "must be above 0")
-    return PlatformSettings(_addr("CloudApi.Address", cloud.get("Address")), frozenset(duties), rate)
+    return PlatformSettings(_addr("CloudApi.Address", platform_api.get("Address")), frozenset(duties), rate)
 
 
 def _bounds(doc: dict) -> dict:
     out = dict(BOUNDS)
-    for name, val in _want(doc, "Bounds", dict, {}, must=False).items():
+    for name, value in _want(doc, "Bounds", dict, {}, must=False).items():
         known = BOUNDS.get(name)
         if known is None:
             continue
         if isinstance(known, bool):
-            if not isinstance(val, bool):
+            if not isinstance(value, bool):
                 raise SettingsError(f"Bounds.{name}", "must be true or false")
-        elif isinstance(val, bool) or not isinstance(val, (int, float)) or val < 0:
+        elif isinstance(value, bool) or not isinstance(value, (int, float)) or value < 0:
             raise SettingsError(f"Bounds.{name}", "must be a number that is not negative")
-        out[name] = val
+        out[name] = value
     return out
 
 
@@ -188,8 +188,8 @@
     listen = {k: _addr(f"Bindings.{k}", v) for k, v in _want(doc, "Bindings", dict, {}, must=False).items()}
     tol = _want(doc, "FaultTolerance", dict, {}, must=False)
     tolerate = {}
-    for name, dflt in (("Machines", 1), ("Zones", 0), ("Regions", 0)):
-        tolerate[name] = dflt if tol.get(name) is None else tol[name]
+    for name, default in (("Machines", 1), ("Zones", 0), ("Regions", 0)):
+        tolerate[name] = default if tol.get(name) is None else tol[name]
         if isinstance(tolerate[name], bool) or not isinstance(tolerate[name], int) or tolerate[name] < 0:
             raise SettingsError(f"FaultTolerance.{name}", "must be a whole number that is not negative")
     beat = _want(doc, "KeepaliveMs", float, 1200.0, must=False)
@@ -207,7 +207,7 @@
         seeds=seeds,
         first=_want(doc, "Bootstrap", bool, False, must=False),
         data_dir=_want(doc, "DataDir", str, None, must=False),
-        beat_ms=beat,
+        heartbeat_interval_ms=beat,
         memory_mb=int(lim.get("MemoryMb", 256)),
         fds=int(lim.get("MaxFds", 1024)),
         disk_mb=int(lim.get("DiskMb", 0)),
@@ -218,7 +218,7 @@
         share_lock_s=_above(doc, "ShareLockS", float, 30.0),
         share_locks=_above(doc, "ShareLocks", int, 200),
         notice_key=_key(doc, "NoticeKeyFile"),
-        cloud=_cloud(doc),
+        platform_api=_cloud(doc),
     )
 
 
--- a/archhatch/runtime/state_board.py
+++ b/archhatch/runtime/state_board.py
@@ -17,8 +17,8 @@
         self._turns: dict = {}
         self._waits: dict = {}
 
-    def post(self, name: str, val) -> None:
-        self._vals[name] = val
+    def post(self, name: str, value) -> None:
+        self._vals[name] = value
         self.touch(name)
 
     def touch(self, name: str) -> None:
@@ -28,20 +28,20 @@
             if not fut.done():
                 fut.set_result(None)
 
-    def read(self, name: str, dflt=None):
-        return self._vals.get(name, dflt)
+    def read(self, name: str, default=None):
+        return self._vals.get(name, default)
 
     def turn(self, name: str) -> int:
         return self._turns.get(name, 0)
 
-    async def news(self, name: str, turn: int, secs: float | None = None) -> int:
+    async def wait_for_change(self, name: str, turn: int, timeout_s: float | None = None) -> int:
         """Wait until the value under name changed after turn, or secs have passed; the turn now."""
         if self.turn(name) != turn:
             return self.turn(name)
         fut = asyncio.get_running_loop().create_future()
         self._waits.setdefault(name, []).append(fut)
         try:
-            await asyncio.wait_for(fut, secs)
+            await asyncio.wait_for(fut, timeout_s)
         except (asyncio.TimeoutError, TimeoutError):
             pass
         finally:
--- a/archhatch/runtime/task_group.py
+++ b/archhatch/runtime/task_group.py
@@ -8,43 +8,43 @@
 class TaskGroup:
     """Holds tasks so that none is lost, and ends them together.
 
-    >>> # crew = TaskGroup(log); crew.keep("pings", self._ping_loop); await crew.end()
+    >>> # task_group = TaskGroup(log); task_group.keep("pings", self._ping_loop); await task_group.end()
     """
 
     def __init__(self, log, counters):
-        self.log, self.ctr = log, counters
+        self.log, self.counters = log, counters
         self.tasks: set = set()
 
-    def keep(self, name: str, fn, *args) -> asyncio.Task:
+    def keep(self, name: str, function, *args) -> asyncio.Task:
         """Run fn(*args) for good: after a fault it is run again, a little later."""
-        return self.once(name, self._again, name, fn, args)
+        return self.once(name, self._again, name, function, args)
 
-    def once(self, name: str, fn, *args) -> asyncio.Task:
+    def once(self, name: str, function, *args) -> asyncio.Task:
         """Run fn(*args) once; a fault is counted and logged."""
-        task = asyncio.get_running_loop().create_task(self._guard(name, fn, args))
+        task = asyncio.get_running_loop().create_task(self._guard(name, function, args))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
-    async def _guard(self, name, fn, args):
+    async def _guard(self, name, function, args):
         try:
-            return await fn(*args)
+            return await function(*args)
         except asyncio.CancelledError:
             raise
         except Exception as e:  # the last stop of a task: say so, never die silently
-            self.ctr.add("fault." + name)
+            self.counters.add("fault." + name)
             self.log.opt(exception=e).error("task {} ended by a fault", name)
 
-    async def _again(self, name, fn, args):
+    async def _again(self, name, function, args):
         pause = 0.05
         while True:
             try:
-                await fn(*args)
+                await function(*args)
                 return
             except asyncio.CancelledError:
                 raise
             except Exception as e:
-                self.ctr.add("fault." + name)
+                self.counters.add("fault." + name)
                 self.log.opt(exception=e).error("task {} failed; again in {}s", name, pause)
             await asyncio.sleep(pause)
             pause = min(1.0, pause * 2)
--- a/archhatch/share_group/acknowledgements.py
+++ b/archhatch/share_group/acknowledgements.py
@@ -19,14 +19,14 @@
     """
 
     def __init__(self, leader):
-        self.leader, self.st, self.quiet_s = leader, leader.st, leader.quiet_s
+        self.leader, self.store, self.quiet_s = leader, leader.store, leader.quiet_s
 
     async def commit(self, doc: dict, body: bytes):
         """A worker's settlements. Each counts once its copies are synced under this epoch; the answer says which."""
         run = self.leader.run_of(doc)
         rows = orjson.loads(body)
         outs = await asyncio.gather(*(self._settle(run, doc["worker"], row) for row in rows))
-        self.st.board.touch("work")
+        self.store.state_board.touch("work")
         return {"done": outs}
 
     async def _settle(self, run: LedPartitions, worker: str, row: dict) -> bool:
@@ -36,7 +36,7 @@
                 raise InvalidTransitionError(f"{row['part']}: no such partition")
             e = win.held(row["off"], worker, row["dc"])
         except InvalidTransitionError:
-            self.st.ctr.add("share.refused")
+            self.store.counters.add("share.refused")
             return False
         self._learn(e, row)
         if e.settling:
@@ -46,25 +46,25 @@
             return self._release(run, win, e, row)
         e.settling = True
         try:
-            await run.reign.list_result(e.lot, e.item.iid, row["doc"])
+            await run.leadership.list_result(e.batch_job, e.item.iid, row["doc"])
         except DeposedError:
-            run.reign.over()
+            run.leadership.over()
             raise Refusal(3005) from None
         finally:
             e.settling = False
-        if e.item.iid not in e.lot.done:  # the reign or the lot ended meanwhile: not settled
+        if e.item.iid not in e.batch_job.done:  # the reign or the lot ended meanwhile: not settled
             return False
         if e.state is EntryState.ACQUIRED:
             win.settle(e.offset, worker, row["dc"], row["kind"])
-            run.entries.get(e.lot.lid, {}).pop(e.item.iid, None)
-        self.st.ctr.add("share." + row["kind"])
+            run.entries.get(e.batch_job.job_id, {}).pop(e.item.iid, None)
+        self.store.counters.add("share." + row["kind"])
         return True
 
     def _release(self, run: LedPartitions, win: SharePartition, e: ShareEntry, row: dict) -> bool:
         e.texts, e.last_id, e.versions = row["texts"], row["last"], set(row["versions"])
         e.fails = max(e.fails, row["fails"])
         if row["forget_home"]:
-            q = run.queues.get(e.lot.lid)
+            q = run.queues.get(e.batch_job.job_id)
             if q is not None:
                 q.forget_home(e.item.group)
         # a delivery count never ends an item: the rules name what may. One that came back often waits longer.
@@ -75,24 +75,24 @@
 
     def _learn(self, x: ShareEntry, row: dict) -> None:
         """What the run showed of its replica: health and versions are judged here, in one place."""
-        st, now = self.st, self.st.clock.now()
-        e = st.engines.all.get(row["engine"])
+        store, now = self.store, self.store.clock.now()
+        e = store.engines.all.get(row["engine"])
         if e is None:
             return
         for sign, rest in row["signs"]:
-            if sign == "served" and st.placement.policy is not None:
-                st.picker.proofs[e.service, e.zone] = now  # a sign of life of its region
+            if sign == "served" and store.placement.policy is not None:
+                store.load_balancer.proofs[e.service, e.zone] = now  # a sign of life of its region
             if sign == "gone":
-                st.engines.drop(e.iid)
+                store.engines.drop(e.iid)
                 return
             if sign == "doubt":
-                st.orders.doubt(e)
-                e.pause_until = now + st.gap_s() * 0.4
+                store.orders.doubt(e)
+                e.pause_until = now + store.gap_s() * 0.4
             elif sign == "full":
-                e.pause_until = now + st.gap_s() * 0.2
+                e.pause_until = now + store.gap_s() * 0.2
             elif sign == "version":
-                e.proven(x.lot.model, rest)
+                e.proven(x.batch_job.model, rest)
             elif sign == "pace":
                 e.pace += 0.1 * (rest - e.pace)
             else:
-                e.fitness.note(sign, now, rest)
+                e.health.note(sign, now, rest)
--- a/archhatch/share_group/item_stream.py
+++ b/archhatch/share_group/item_stream.py
@@ -28,39 +28,39 @@
     """
 
     def __init__(self, store):
-        self.st = store
+        self.store = store
 
     async def run(self, job: AcquiredEntry) -> None:
         """Run an entry once; what is whole moves on to scoring."""
-        st, gap = self.st, self.st.gap_s()
+        store, gap = self.store, self.store.gap_s()
         if not job.may_send():
             return
-        st.ctr.add("item.send")
+        store.counters.add("item.send")
         try:
             async with asyncio.timeout(gap * (QUIET + FIRST)) as limit:
-                async with self._ask(job) as resp:
-                    if await self._answered(job, resp):
-                        await self._read_events(job, resp, limit)
+                async with self._ask(job) as response:
+                    if await self._answered(job, response):
+                        await self._read_events(job, response, limit)
             return
         except NotSentError:
-            st.ctr.add("item.too_late")
+            store.counters.add("item.too_late")
             return
         except aiohttp.ClientConnectorError:
             job.sign("vanished", gap * 2)
-            st.ctr.add("item.no_way")
+            store.counters.add("item.no_way")
         except (asyncio.TimeoutError, TimeoutError):
             job.sign("vanished", gap * 2)
-            st.ctr.add("item.silent")
+            store.counters.add("item.silent")
         except (aiohttp.ClientError, OSError, ValueError) as e:
             job.sign("faulted", gap)
-            st.ctr.add("item.cut")
-            st.log.debug("item cut at {}: {!r}", job.card["engine"], e)
+            store.counters.add("item.cut")
+            store.log.debug("item cut at {}: {!r}", job.card["engine"], e)
         job.forget_home = True
 
     def _ask(self, job: AcquiredEntry):
         card = job.card
         body = base64.b64decode(card["payload"])
-        return self.st.caller.ask(
+        return self.store.upstream_client.ask(
             card["addr"], card["engine"], "POST", card["path"], self._heads(job), body, 0.0, AGAIN, job.may_send
         )
 
@@ -69,7 +69,7 @@
         heads = [("Host", card["host"]), (ECHO, card["iid"]), (EXPECT_REV, str(card["version"]))]
         given = with_tenant(card["heads"], card.get("tenant"))
         heads += [(name, value) for name, value in given if name.lower() not in SET_BY_US]
-        if card["service"] in self.st.live_services:
+        if card["service"] in self.store.live_services:
             heads.append((URGENCY, BESIDE_LIVE))
         if job.last_id:
             heads.append((LAST_ID, job.last_id))
@@ -77,32 +77,32 @@
 
     # -- the answer
 
-    async def _answered(self, job: AcquiredEntry, resp) -> bool:
+    async def _answered(self, job: AcquiredEntry, response) -> bool:
         """Whether a stream follows the head of an answer; any other answer is taken up here."""
         card = job.card
-        if not belongs(resp, card["iid"], AGAIN):
-            resp.close()
+        if not belongs(response, card["iid"], AGAIN):
+            response.close()
             raise InvalidStreamError("answer of another item")
-        if says_not_run(resp):
-            await resp.read()
-            self._turned_away(job, resp)
+        if says_not_run(response):
+            await response.read()
+            self._turned_away(job, response)
             return False
-        if resp.status == 422:
-            await resp.read()
+        if response.status == 422:
+            await response.read()
             job.state, job.fails = "scoring", card["sends"]
             return False
-        if resp.status != 200:
-            await resp.read()
-            self._failed(job, resp.status)
+        if response.status != 200:
+            await response.read()
+            self._failed(job, response.status)
             return False
-        if SEAL not in resp.headers or not has_end(resp):
-            resp.close()
+        if SEAL not in response.headers or not has_end(response):
+            response.close()
             raise InvalidStreamError("no seal, or nothing that tells where it ends")
         return True
 
     def _failed(self, job: AcquiredEntry, status: int) -> None:
-        gap = self.st.gap_s()
-        self.st.ctr.add(f"item.{status}")
+        gap = self.store.gap_s()
+        self.store.counters.add(f"item.{status}")
         if status == 500:
             job.fails += 1
             if job.fails >= job.card["sends"]:
@@ -110,12 +110,12 @@
         job.sign("faulted", gap)
         job.pause = gap
 
-    def _turned_away(self, job: AcquiredEntry, resp) -> None:
-        self.st.ctr.add(f"item.away.{resp.status}")
-        other = resp.headers.get("X-Archhatch-Instance-Id")
-        if resp.status == 421 and other not in (None, job.card["engine"]):
+    def _turned_away(self, job: AcquiredEntry, response) -> None:
+        self.store.counters.add(f"item.away.{response.status}")
+        other = response.headers.get("X-Archhatch-Instance-Id")
+        if response.status == 421 and other not in (None, job.card["engine"]):
             job.sign("gone")
-        elif resp.status == 421:
+        elif response.status == 421:
             job.sign("doubt")
         else:
             job.sign("full")
@@ -123,11 +123,11 @@
 
     # -- the events
 
-    async def _read_events(self, job: AcquiredEntry, resp, limit: asyncio.Timeout) -> None:
-        now, version, gap = self.st.clock.now, job.card["version"], self.st.gap_s()
-        current = newest(resp.headers.get(VERSIONS, ""), version)
+    async def _read_events(self, job: AcquiredEntry, response, limit: asyncio.Timeout) -> None:
+        now, version, gap = self.store.clock.now, job.card["version"], self.store.gap_s()
+        current = newest(response.headers.get(VERSIONS, ""), version)
         reader, began, count = EventReader(), now(), 0
-        async for raw in resp.content.iter_any():
+        async for raw in response.content.iter_any():
             limit.reschedule(asyncio.get_running_loop().time() + gap * QUIET)
             for event in reader.feed(raw):
                 if not follows(job.last_id, event.id):
@@ -152,17 +152,17 @@
         card = job.card
         too_old = any(version < card["least"] for version in job.versions)
         if too_old or (card["single"] and len(job.versions) > 1) or not job.texts:
-            self.st.ctr.add("item.misfit")
+            self.store.counters.add("item.misfit")
             job.drop_text()
             return
         job.state = "scoring"
 
 
-def newest(head: str, dflt: int) -> int:
+def newest(head: str, default: int) -> int:
     """The newest number in a head of versions.
 
     >>> newest("6,7", 1), newest("", 3)
     (7, 3)
     """
     nums = [int(x) for x in head.replace(" ", "").split(",") if x.isdigit()]
-    return nums[-1] if nums else dflt
+    return nums[-1] if nums else default
--- a/archhatch/share_group/leader.py
+++ b/archhatch/share_group/leader.py
@@ -21,11 +21,11 @@
 class PartitionLeader:
     """Fills the places of the engines with entries, the most urgent lots first, through the workers that ask.
 
-    >>> # leader = PartitionLeader(store); crew.keep("leader", leader.run); doc, body = await leader.fetch(doc)
+    >>> # leader = PartitionLeader(store); task_group.keep("leader", leader.run); doc, body = await leader.fetch(doc)
     """
 
     def __init__(self, store, lock_s: float = 30.0, most_locks: int = 200):
-        self.st = store
+        self.store = store
         self.lock_s, self.most_locks = lock_s, most_locks
         self.runs: dict[str, LedPartitions] = {}
         self.places = ReplicaSlots(store)
@@ -34,84 +34,88 @@
         self.recalls, self.settlements = Recalls(self), Acknowledgements(self)
 
     async def run(self) -> None:
-        st, turn = self.st, 0
+        store, turn = self.store, 0
         while True:
-            self.places.lull.heed(st.news.busy)
+            self.places.lull.heed(store.config_watcher.busy)
             self.sync()
             self.recalls.give_back()
             self.recalls.move_on()
             self._wake()
-            turn = await st.board.news("work", turn, st.beat_s * 0.5)
+            turn = await store.state_board.wait_for_change("work", turn, store.heartbeat_interval_s * 0.5)
 
     # -- what there is to do
 
     def sync(self) -> None:
         """Fold reigns and lots: new lots get their entries, ended ones lose what still runs."""
-        st, now = self.st, self.st.clock.now()
-        for name in [n for n, r in self.runs.items() if r.reign is not st.reigns.get(n) or r.reign.state != "holding"]:
+        store, now = self.store, self.store.clock.now()
+        for name in [
+            n
+            for n, r in self.runs.items()
+            if r.leadership is not store.leaderships.get(n) or r.leadership.state != "holding"
+        ]:
             self._close(name)
         self.due = []
-        for name, reign in st.reigns.items():
-            if reign.state != "holding":
+        for name, leadership in store.leaderships.items():
+            if leadership.state != "holding":
                 continue
             run = self.runs.get(name)
             if run is None:
-                run = self.runs[name] = LedPartitions(reign, now)
+                run = self.runs[name] = LedPartitions(leadership, now)
                 self._restore(run)
-            for lid in [k for k in run.queues if k not in reign.lots or reign.lots[k].ended]:
-                self._drop_lot(run, lid)
-            for lot in reign.lots.values():
-                if lot.ended or (lot.listed >= lot.total and lot.lid not in run.queues):
+            for job_id in [k for k in run.queues if k not in leadership.batch_jobs or leadership.batch_jobs[k].ended]:
+                self._drop_lot(run, job_id)
+            for batch_job in leadership.batch_jobs.values():
+                if batch_job.ended or (batch_job.listed >= batch_job.total and batch_job.job_id not in run.queues):
                     continue
-                lane = lane_of(st.plan, lot)
-                if lot.lid not in run.queues:
-                    self._take_lot(run, lot)
-                if lane is not None and run.entries[lot.lid]:
-                    self.due.append((lot.taken + lane.due_s, lot.lid, lot, lane, run))
+                route = lane_of(store.plan, batch_job)
+                if batch_job.job_id not in run.queues:
+                    self._take_lot(run, batch_job)
+                if route is not None and run.entries[batch_job.job_id]:
+                    self.due.append((batch_job.taken + route.due_s, batch_job.job_id, batch_job, route, run))
             self._take_back(run, now)
         self.due.sort(key=lambda x: x[:2])
 
     def _restore(self, run: LedPartitions) -> None:
         """Build the windows of the run's partitions from what the stores told of them."""
         found: dict[str, list] = {}
-        for head, body in run.reign.window_recs:
+        for head, body in run.leadership.window_recs:
             found.setdefault(head["part"], []).append((head, body))
-        for part, recs in found.items():
-            self._window(run, part)
-            run.journals[part].restore(run.windows[part], recs, self.st.ctr)
-        for lot in sorted(run.reign.lots.values(), key=lambda x: (x.base, x.lid)):
-            win = self._window(run, lot.model)
-            win.next = max(win.next, lot.base + lot.total)
-
-    def _window(self, run: LedPartitions, part: str) -> SharePartition:
-        win = run.windows.get(part)
+        for shard, records in found.items():
+            self._window(run, shard)
+            run.journals[shard].restore(run.windows[shard], records, self.store.counters)
+        for batch_job in sorted(run.leadership.batch_jobs.values(), key=lambda x: (x.base, x.job_id)):
+            win = self._window(run, batch_job.model)
+            win.next = max(win.next, batch_job.base + batch_job.total)
+
+    def _window(self, run: LedPartitions, shard: str) -> SharePartition:
+        win = run.windows.get(shard)
         if win is None:
-            win = run.windows[part] = SharePartition(part, run.reign.term, self.lock_s, self.most_locks)
-            run.journals[part] = WindowJournal(run.reign.run, part)
+            win = run.windows[shard] = SharePartition(shard, run.leadership.term, self.lock_s, self.most_locks)
+            run.journals[shard] = WindowJournal(run.leadership.run, shard)
         return win
 
-    def _take_lot(self, run: LedPartitions, lot) -> None:
-        win = self._window(run, lot.model)
-        q = run.queues[lot.lid] = JobQueue(lot.want)
-        mine = run.entries[lot.lid] = {}
+    def _take_lot(self, run: LedPartitions, batch_job) -> None:
+        win = self._window(run, batch_job.model)
+        q = run.queues[batch_job.job_id] = JobQueue(batch_job.want)
+        mine = run.entries[batch_job.job_id] = {}
         ranks: dict = {}
-        for it in lot.items.values():
+        for it in batch_job.items.values():
             ranks.setdefault(it.group, len(ranks))
-            if it.iid in lot.done:
-                win.skip(lot.base + it.at)
+            if it.iid in batch_job.done:
+                win.skip(batch_job.base + it.at)
                 continue
-            e = win.append(lot, it, ranks[it.group], lot.base + it.at)
+            e = win.append(batch_job, it, ranks[it.group], batch_job.base + it.at)
             mine[it.iid] = e
             q.put(e)
 
-    def _drop_lot(self, run: LedPartitions, lid: str) -> None:
+    def _drop_lot(self, run: LedPartitions, job_id: str) -> None:
         """The lot is ended: nothing of it starts any more, and what runs is broken off."""
-        for e in run.entries.pop(lid, {}).values():
+        for e in run.entries.pop(job_id, {}).values():
             if e.state is EntryState.ACQUIRED:
                 self.break_off(run, e, "ended")
             self.unplace(e)
-            run.windows[e.lot.model].finish(e)
-        run.queues.pop(lid, None)
+            run.windows[e.batch_job.model].finish(e)
+        run.queues.pop(job_id, None)
 
     def _close(self, name: str) -> None:
         run = self.runs.pop(name)
@@ -119,21 +123,21 @@
             for e in entries.values():
                 self.unplace(e)
         for seat in run.seats.values():
-            self.st.board.touch(("seat", name, seat.worker))
+            self.store.state_board.touch(("seat", name, seat.worker))
 
     def break_off(self, run: LedPartitions, e: ShareEntry, why: str) -> None:
         seat = run.seats.get(e.worker)
         if seat is not None:
-            seat.drop.append((e.lot.model, e.offset, e.deliveries, why))
+            seat.drop.append((e.batch_job.model, e.offset, e.deliveries, why))
 
     def unplace(self, e: ShareEntry) -> None:
         if e.engine is not None:
-            e.engine.running[e.lot.model] -= 1
+            e.engine.running[e.batch_job.model] -= 1
             e.engine = None
 
     def _take_back(self, run: LedPartitions, now: float) -> None:
         """Locks that ran out, workers that are gone, and batches that never came: their entries are Available again."""
-        st = self.st
+        store = self.store
         for seat in list(run.seats.values()):
             for n, (at, entries) in list(seat.unread.items()):
                 if now - at > self.quiet_s:
@@ -141,7 +145,7 @@
                     for e, delivery in entries:
                         if e.state is EntryState.ACQUIRED and e.worker == seat.worker and e.deliveries == delivery:
                             self.again(run, e, "batch_lost")
-            if not st.alive(seat.worker) or now - seat.heard > self.quiet_s * 2:
+            if not store.alive(seat.worker) or now - seat.heard > self.quiet_s * 2:
                 del run.seats[seat.worker]
                 self._free(run, seat.worker, "worker_gone")
         for win in run.windows.values():
@@ -157,37 +161,39 @@
     def again(self, run: LedPartitions, e: ShareEntry, why: str = "", pause: float = 0.0) -> None:
         """Make an entry Available, at the head of its group."""
         if why:
-            self.st.ctr.add("share." + why)
+            self.store.counters.add("share." + why)
         self.unplace(e)
-        run.windows[e.lot.model].give_up(e)
-        e.not_before = self.st.clock.now() + pause if pause > 0 else 0.0
-        q = run.queues.get(e.lot.lid)
+        run.windows[e.batch_job.model].give_up(e)
+        e.not_before = self.store.clock.now() + pause if pause > 0 else 0.0
+        q = run.queues.get(e.batch_job.job_id)
         if q is not None:
             q.put(e, front=True)
 
     def _wake(self) -> None:
         """Let the polls look again whose engines have room."""
-        now = self.st.clock.now()
+        now = self.store.clock.now()
         for name, run in self.runs.items():
             if not run.seats:
                 continue
             wake = {s.worker for s in run.seats.values() if s.drop}
             if any(q.waiting[0] or q.waiting[1] or q.later for q in run.queues.values()):
-                for e in self.st.engines.of(name):
+                for e in self.store.engines.of(name):
                     if self.places.open(e, now) > 0:
                         wake.add(self.places.driver(run, e))
             for worker in wake:
-                self.st.board.touch(("seat", name, worker))
+                self.store.state_board.touch(("seat", name, worker))
 
-    def short(self, reign, model: str) -> bool:
+    def short(self, leadership, model: str) -> bool:
         """Whether a model's items would want more replicas that hold a version which they allow."""
-        run = self.runs.get(reign.run)
+        run = self.runs.get(leadership.run)
         return run is not None and self.places.short(run, model)
 
     def demand(self) -> dict[str, float]:
         """By service, the places that the runs led here need to be done in time."""
         return {
-            name: round(self.places.demand(run), 1) for name, run in self.runs.items() if run.reign.state == "holding"
+            name: round(self.places.demand(run), 1)
+            for name, run in self.runs.items()
+            if run.leadership.state == "holding"
         }
 
     # -- fetch
@@ -195,33 +201,33 @@
     def run_of(self, doc: dict) -> LedPartitions:
         self.sync_if_new(doc["run"])
         run = self.runs.get(doc["run"])
-        if run is None or run.reign.state != "holding" or self.st.leaving:
+        if run is None or run.leadership.state != "holding" or self.store.leaving:
             raise Refusal(3005)
-        if run.reign.term != doc["epoch"]:
-            self.st.ctr.add("share.other_epoch")
-            raise Refusal(3007, run.reign.term)
+        if run.leadership.term != doc["epoch"]:
+            self.store.counters.add("share.other_epoch")
+            raise Refusal(3007, run.leadership.term)
         return run
 
     def sync_if_new(self, name: str) -> None:
         """A reign that just began has its windows before the first worker asks."""
-        reign = self.st.reigns.get(name)
+        leadership = self.store.leaderships.get(name)
         if (
-            reign is not None
-            and reign.state == "holding"
-            and (name not in self.runs or self.runs[name].reign is not reign)
+            leadership is not None
+            and leadership.state == "holding"
+            and (name not in self.runs or self.runs[name].leadership is not leadership)
         ):
             self.sync()
 
     async def fetch(self, doc: dict):
         """A worker's poll: what it read of earlier batches, which streams ended, and, under a new epoch, what it still
         holds. Answers with a batch in increasing offset order, or empty when its time is up."""
-        st = self.st
+        store = self.store
         run = self.run_of(doc)
-        now = st.clock.now()
+        now = store.clock.now()
         seat = run.seats.get(doc["worker"])
-        if seat is None or seat.life != doc["life"]:
+        if seat is None or seat.incarnation != doc["life"]:
             if doc["holding"] is None:  # it was given up, or this leader is new: first it says what it holds
-                raise Refusal(3007, run.reign.term)
+                raise Refusal(3007, run.leadership.term)
             if seat is not None:
                 self._free(run, seat.worker, "worker_gone")
             seat = run.seats[doc["worker"]] = WorkerState(doc["worker"], doc["life"], doc["zone"])
@@ -229,18 +235,18 @@
             return {"old": True}, b"[]"
         seat.poll, seat.heard, seat.lag = doc["poll"], now, doc["lag"]
         key = ("seat", doc["run"], seat.worker)
-        st.board.touch(key)
+        store.state_board.touch(key)
         for n in doc["got"]:
             seat.unread.pop(n, None)
-        for part, offset, delivery in doc["off"]:
-            self._stream_ended(run, seat.worker, part, offset, delivery)
+        for shard, offset, delivery in doc["off"]:
+            self._stream_ended(run, seat.worker, shard, offset, delivery)
         kept = self._attach(run, seat, doc["holding"], now) if doc["holding"] is not None else None
         end, mine = now + doc["hold"], doc["poll"]
         while True:
-            turn = st.board.turn(key)
-            if run.reign.state != "holding" or self.runs.get(doc["run"]) is not run:
+            turn = store.state_board.turn(key)
+            if run.leadership.state != "holding" or self.runs.get(doc["run"]) is not run:
                 raise Refusal(3005)
-            now = st.clock.now()
+            now = store.clock.now()
             if seat.poll != mine or run.seats.get(seat.worker) is not seat:
                 return {"old": True, "kept": kept, "drop": [], "batch": None}, b"[]"
             seat.heard = now
@@ -253,91 +259,93 @@
                     n = seat.batch
                     seat.unread[n] = (now, [(e, e.deliveries) for e, _ in batch])
                 return {"kept": kept, "drop": drop, "batch": n}, orjson.dumps([d for _, d in batch])
-            await st.board.news(key, turn, end - now)
+            await store.state_board.wait_for_change(key, turn, end - now)
 
-    def _stream_ended(self, run: LedPartitions, worker: str, part: str, offset: int, delivery: int) -> None:
-        win = run.windows.get(part)
+    def _stream_ended(self, run: LedPartitions, worker: str, shard: str, offset: int, delivery: int) -> None:
+        win = run.windows.get(shard)
         e = win.locked.get(offset) if win is not None else None
         if e is not None and e.worker == worker and e.deliveries == delivery:
             if e.engine is not None and not e.recalled:
-                run.times.note(part, self.st.clock.now() - e.until + self.lock_s)
+                run.times.note(shard, self.store.clock.now() - e.until + self.lock_s)
             self.unplace(e)
 
     def _attach(self, run: LedPartitions, seat: WorkerState, holding: list, now: float) -> list:
         """A worker that outlived the last leader takes up again what it still holds, each as a new acquisition."""
         kept = []
-        for lid, iid, engine in holding:
-            e = run.entries.get(lid, {}).get(iid)
+        for job_id, iid, engine in holding:
+            e = run.entries.get(job_id, {}).get(iid)
             if e is not None and e.state is EntryState.ACQUIRED and e.worker == seat.worker:
-                kept.append([lid, iid, e.offset, e.deliveries])
+                kept.append([job_id, iid, e.offset, e.deliveries])
                 continue
-            if e is None or e.state is not EntryState.AVAILABLE or run.windows[e.lot.model].room() <= 0:
+            if e is None or e.state is not EntryState.AVAILABLE or run.windows[e.batch_job.model].room() <= 0:
                 continue
-            q = run.queues[lid]
+            q = run.queues[job_id]
             row = q.groups.get(e.item.group)
             if row is None or e not in row:
                 continue
             row.remove(e)
             q.waiting[q._surplus(e.rank)] -= 1
-            run.windows[e.lot.model].acquire(e, seat.worker, now)
-            eng = self.st.engines.all.get(engine) if engine else None
+            run.windows[e.batch_job.model].acquire(e, seat.worker, now)
+            eng = self.store.engines.all.get(engine) if engine else None
             if eng is not None:
                 e.engine = eng
-                eng.running[e.lot.model] = eng.running.get(e.lot.model, 0) + 1
-            kept.append([lid, iid, e.offset, e.deliveries])
-        have = {(lid, iid) for lid, iid, _, _ in kept}
+                eng.running[e.batch_job.model] = eng.running.get(e.batch_job.model, 0) + 1
+            kept.append([job_id, iid, e.offset, e.deliveries])
+        have = {(job_id, iid) for job_id, iid, _, _ in kept}
         for win in run.windows.values():
             for e in [
                 e
                 for e in win.locked.values()
-                if e.worker == seat.worker and not e.settling and (e.lot.lid, e.item.iid) not in have
+                if e.worker == seat.worker and not e.settling and (e.batch_job.job_id, e.item.iid) not in have
             ]:
                 self.again(run, e, "not_held")
-        self.st.ctr.add("share.attached", len(kept))
+        self.store.counters.add("share.attached", len(kept))
         return kept
 
     def _settled_in(self, run: LedPartitions, now: float) -> bool:
         """Whether the workers of an earlier epoch have had their time to say what they still hold."""
-        st = self.st
+        store = self.store
         if now - run.since >= self.quiet_s * 0.5:
             return True
-        return all(sid in run.seats for sid, m in st.members().items() if m["state"] == "active" and st.alive(sid))
+        return all(
+            sid in run.seats for sid, m in store.members().items() if m["state"] == "active" and store.alive(sid)
+        )
 
     def _hand_out(self, run: LedPartitions, seat: WorkerState, now: float) -> list:
         """Acquire entries for the free places of the engines that this worker drives."""
-        if not run.reign.fresh() or not self._settled_in(run, now):
+        if not run.leadership.fresh() or not self._settled_in(run, now):
             return []
         waiting = sum(q.waiting[0] + q.waiting[1] + len(q.later) for q in run.queues.values())
         if not waiting:
             return []
-        free = [(e, n) for e in self.st.engines.of(run.reign.run) if (n := self.places.open(e, now)) > 0]
+        free = [(e, n) for e in self.store.engines.of(run.leadership.run) if (n := self.places.open(e, now)) > 0]
         # while there are more places than entries, whoever asks first must not fill his engines and leave others idle
         share = math.ceil(waiting / max(1, len(free)))
         room = {e.iid: [e, min(n, share)] for e, n in free if self.places.driver(run, e) == seat.worker}
         out: list = []
         for surplus in (False, True):
-            for _, lid, lot, lane, owner in self.due:
+            for _, job_id, batch_job, route, owner in self.due:
                 if not room:
                     break
-                q = run.queues.get(lid)
-                if owner is not run or q is None or lot.ended or not (q.waiting[surplus] or q.later):
+                q = run.queues.get(job_id)
+                if owner is not run or q is None or batch_job.ended or not (q.waiting[surplus] or q.later):
                     continue
-                self._from_lot(run, seat, q, lot, lane, surplus, room, out, now)
-        out.sort(key=lambda x: (x[0].lot.model, x[0].offset))
+                self._from_lot(run, seat, q, batch_job, route, surplus, room, out, now)
+        out.sort(key=lambda x: (x[0].batch_job.model, x[0].offset))
         if out:
-            self.st.ctr.add("share.acquired", len(out))
+            self.store.counters.add("share.acquired", len(out))
         return out
 
-    def _from_lot(self, run, seat, q, lot, lane, surplus, room, out, now) -> None:
-        win = run.windows[lot.model]
-        services = {s for s, _ in lane.split}
+    def _from_lot(self, run, seat, q, batch_job, route, surplus, room, out, now) -> None:
+        win = run.windows[batch_job.model]
+        services = {s for s, _ in route.split}
         fit = [
             iid
             for iid, (e, _) in room.items()
             if e.service in services
-            and lot.model not in e.held
-            and e.revs.get(lot.model, 1) >= lot.least
-            and self.st.placement.allows(lane, e.zone)
+            and batch_job.model not in e.held
+            and e.revs.get(batch_job.model, 1) >= batch_job.least
+            and self.store.placement.allows(route, e.zone)
         ]
         fit.sort(key=lambda i: (room[i][0].busy() / room[i][0].slots, room[i][0].pace))
         while fit:
@@ -348,43 +356,43 @@
                     return
                 win.acquire(entry, seat.worker, now)
                 entry.engine = e
-                e.running[lot.model] = e.running.get(lot.model, 0) + 1
-                version = e.revs.get(lot.model, 1)
-                if not entry.fits(version, lane.single):
+                e.running[batch_job.model] = e.running.get(batch_job.model, 0) + 1
+                version = e.revs.get(batch_job.model, 1)
+                if not entry.fits(version, route.single):
                     entry.drop_text()
-                out.append((entry, self._card(entry, e, version, lane)))
+                out.append((entry, self._card(entry, e, version, route)))
                 room[iid][1] -= 1
                 if room[iid][1] <= 0:
                     fit.remove(iid)
                     del room[iid]
 
-    def _card(self, x: ShareEntry, e, version: int, lane) -> dict:
+    def _card(self, x: ShareEntry, e, version: int, route) -> dict:
         """An acquired entry as its worker gets it."""
-        it, lot = x.item, x.lot
+        it, batch_job = x.item, x.batch_job
         return {
-            "part": lot.model,
+            "part": batch_job.model,
             "off": x.offset,
             "dc": x.deliveries,
-            "lot": lot.lid,
+            "lot": batch_job.job_id,
             "iid": it.iid,
-            "host": lot.host,
+            "host": batch_job.host,
             "path": it.path,
             "heads": it.heads,
-            "tenant": lot.tenant,
+            "tenant": batch_job.tenant,
             "payload": it.payload,
             "scorer": it.scorer,
-            "least": lot.least,
-            "single": lane.single,
-            "sends": lane.sends,
+            "least": batch_job.least,
+            "single": route.single,
+            "sends": route.sends,
             "version": version,
             "engine": e.iid,
-            "addr": e.addr,
+            "addr": e.address,
             "service": e.service,
             "texts": x.texts,
             "last": x.last_id,
             "versions": sorted(x.versions),
             "fails": x.fails,
-            "key": [x.rank >= lot.want > 0, lot.taken + lane.due_s, x.rank],
+            "key": [x.rank >= batch_job.want > 0, batch_job.taken + route.due_s, x.rank],
             "lock": self.lock_s,
         }
 
@@ -397,13 +405,13 @@
     async def persist(self) -> None:
         """Write what changed of the windows, a delta or a snapshot each, with the copies of any settlement."""
         while True:
-            await asyncio.sleep(self.st.beat_s * 2)
+            await asyncio.sleep(self.store.heartbeat_interval_s * 2)
             for run in list(self.runs.values()):
-                recs = [r for part, win in run.windows.items() if (r := run.journals[part].next(win)) is not None]
-                for rec in recs:
+                records = [r for shard, win in run.windows.items() if (r := run.journals[shard].next(win)) is not None]
+                for record in records:
                     try:
-                        await run.reign.note(rec)
+                        await run.leadership.note(record)
                     except DeposedError:
-                        self.st.ctr.add("share.zombie_write")
-                        run.reign.over()
+                        self.store.counters.add("share.zombie_write")
+                        run.leadership.over()
                         break
--- a/archhatch/share_group/led_partitions.py
+++ b/archhatch/share_group/led_partitions.py
@@ -17,7 +17,7 @@
     """A worker at this leader: one life of a store node."""
 
     worker: str
-    life: str
+    incarnation: str
     zone: str = ""
     heard: float = 0.0
     lag: float = 0.0
@@ -30,8 +30,8 @@
 class LedPartitions:
     """What this leader knows of one service's partitions, for as long as its reign lasts."""
 
-    def __init__(self, reign, now: float):
-        self.reign = reign
+    def __init__(self, leadership, now: float):
+        self.leadership = leadership
         self.since = now
         self.windows: dict[str, SharePartition] = {}
         self.journals: dict[str, WindowJournal] = {}
