--- a/archhatch/share_group/recalls.py
+++ b/archhatch/share_group/recalls.py
@@ -16,7 +16,7 @@
     """
 
     def __init__(self, leader):
-        self.leader, self.st, self.places = leader, leader.st, leader.places
+        self.leader, self.store, self.places = leader, leader.store, leader.places
 
     def give_back(self) -> None:
         """Live requests are back: break off the newest items over the places that are left. What is made of their
@@ -25,7 +25,7 @@
             return
         for run in self.leader.runs.values():
             over: dict = {}
-            for e in self.st.engines.of(run.reign.run):
+            for e in self.store.engines.of(run.leadership.run):
                 n = e.busy() - self.places.places(e)
                 if n > 0:
                     over[e.iid] = n
@@ -41,44 +41,48 @@
                 for x in sorted((x for x in rows if not x.recalled), key=lambda x: -x.until)[: max(0, n)]:
                     x.recalled = True
                     self.leader.break_off(run, x, RECALL)
-                    self.st.ctr.add("item.recalled")
+                    self.store.counters.add("item.recalled")
 
     def move_on(self) -> None:
         """A planned move: entries that run where they should no longer run are recalled, as far as there are free
         places where they go on; their texts are kept. Not by a leader that is to hand its run on: texts that came back
         to it would end with its term, while entries that run are taken up by the next leader, which recalls them."""
-        st = self.st
-        if not any(move.settling for move in st.placement.moves.all):
+        store = self.store
+        if not any(move.settling for move in store.placement.moves.all):
             return
         for name, run in self.leader.runs.items():
-            if st.evacuation.leads_elsewhere(name):
+            if store.evacuation.leads_elsewhere(name):
                 continue
-            lanes = {lid: lane_of(st.plan, run.reign.lots[lid]) for lid in run.queues if lid in run.reign.lots}
-            for lid, lane in lanes.items():
-                if lane is not None:
-                    self._leave_homes(run.queues[lid], lane)
+            routes = {
+                job_id: lane_of(store.plan, run.leadership.batch_jobs[job_id])
+                for job_id in run.queues
+                if job_id in run.leadership.batch_jobs
+            }
+            for job_id, route in routes.items():
+                if route is not None:
+                    self._leave_homes(run.queues[job_id], route)
             held = [entry for window in run.windows.values() for entry in window.locked.values()]
-            leaving = [entry for entry in held if self._leaves(entry, lanes.get(entry.lot.lid))]
-            room = self.places.room_for(run, [lanes[entry.lot.lid] for entry in leaving])
+            leaving = [entry for entry in held if self._leaves(entry, routes.get(entry.batch_job.job_id))]
+            room = self.places.room_for(run, [routes[entry.batch_job.job_id] for entry in leaving])
             room -= sum(q.waiting[0] + q.waiting[1] for q in run.queues.values())
             room -= sum(1 for entry in leaving if entry.recalled)
             fresh = sorted((entry for entry in leaving if not entry.recalled), key=lambda entry: -entry.until)
             for entry in fresh[: max(0, room)]:
                 entry.recalled = True
                 self.leader.break_off(run, entry, RECALL)
-                st.ctr.add("item.moved_on")
+                store.counters.add("item.moved_on")
 
-    def _leaves(self, entry: ShareEntry, lane) -> bool:
+    def _leaves(self, entry: ShareEntry, route) -> bool:
         return (
-            lane is not None
+            route is not None
             and entry.engine is not None
             and not entry.settling
-            and self.st.placement.leaves(lane, entry.engine.zone)
+            and self.store.placement.leaves(route, entry.engine.zone)
         )
 
-    def _leave_homes(self, queue: JobQueue, lane) -> None:
+    def _leave_homes(self, queue: JobQueue, route) -> None:
         """Groups that wait for a replica which they should no longer use may stand elsewhere."""
         for group, iid in list(queue.homes.items()):
-            engine = self.st.engines.all.get(iid)
-            if engine is not None and self.st.placement.leaves(lane, engine.zone):
+            engine = self.store.engines.all.get(iid)
+            if engine is not None and self.store.placement.leaves(route, engine.zone):
                 queue.forget_home(group)
--- a/archhatch/share_group/replica_slots.py
+++ b/archhatch/share_group/replica_slots.py
@@ -12,13 +12,13 @@
 LAG = 4.0  # a worker whose node lags this many times more than the middle one drives no replica
 
 
-def lane_of(plan, lot):
+def lane_of(plan, batch_job):
     """The lane that a lot came by; None if the configuration has it no more.
 
     >>> lane_of(None, None) is None
     True
     """
-    return plan.lane(lot.host, lot.path.split("?", 1)[0]) if plan is not None else None
+    return plan.route(batch_job.host, batch_job.path.split("?", 1)[0]) if plan is not None else None
 
 
 class ReplicaSlots:
@@ -28,7 +28,7 @@
     """
 
     def __init__(self, store):
-        self.st = store
+        self.store = store
         self.lull = LoadLimit()
 
     def workers(self, run: LedPartitions) -> list:
@@ -36,8 +36,8 @@
         seats = list(run.seats.values())
         lags = sorted(s.lag for s in seats)
         middle = lags[len(lags) // 2] if lags else 0.0
-        well = [s for s in seats if s.lag <= max(LAG * middle, self.st.beat_s * 0.25)] or seats
-        others = [s for s in well if s.worker != self.st.id]
+        well = [s for s in seats if s.lag <= max(LAG * middle, self.store.heartbeat_interval_s * 0.25)] or seats
+        others = [s for s in well if s.worker != self.store.id]
         return others if len(others) >= 2 else well
 
     def driver(self, run: LedPartitions, e) -> str | None:
@@ -53,13 +53,13 @@
         return got
 
     def places(self, e) -> int:
-        return self.lull.places(e.service, e.slots, self.st.engines.count(e.service))
+        return self.lull.places(e.service, e.slots, self.store.engines.count(e.service))
 
     def open(self, e, now: float) -> int:
         """Free places of an engine that may have items; one in doubt gets few until it has proven itself."""
         if e.draining or e.pause_until > now:
             return 0
-        health = e.fitness.look(now)
+        health = e.health.look(now)
         if health == "resting":
             return 0
         places = self.places(e)
@@ -68,45 +68,45 @@
     def short(self, run: LedPartitions, model: str) -> bool:
         """Whether items that the trainer waits for find no free place under a version that they allow, and would not be
         done well before they are due where the others run."""
-        now = self.st.clock.now()
-        for lid, q in run.queues.items():
-            lot = run.reign.lots.get(lid)
-            if lot is None or lot.model != model or lot.ended or not q.wanted(now):
+        now = self.store.clock.now()
+        for job_id, q in run.queues.items():
+            batch_job = run.leadership.batch_jobs.get(job_id)
+            if batch_job is None or batch_job.model != model or batch_job.ended or not q.wanted(now):
                 continue
             fit = [
                 e
-                for e in self.st.engines.of(run.reign.run)
-                if model not in e.held and e.revs.get(model, 1) >= lot.least and not e.draining
+                for e in self.store.engines.of(run.leadership.run)
+                if model not in e.held and e.revs.get(model, 1) >= batch_job.least and not e.draining
             ]
             if any(e.busy() < self.places(e) for e in fit):
                 continue
-            if not self._in_time(run, lot, q.waiting[False], sum(e.running.get(model, 0) for e in fit), now):
+            if not self._in_time(run, batch_job, q.waiting[False], sum(e.running.get(model, 0) for e in fit), now):
                 return True
         return False
 
     def demand(self, run: LedPartitions) -> float:
         """The places that would have all open lots done in time: for what the trainer waits for, and what runs now."""
-        now, total = self.st.clock.now(), 0.0
-        for lid, queue in run.queues.items():
-            lot = run.reign.lots.get(lid)
-            lane = lane_of(self.st.plan, lot) if lot is not None and not lot.ended else None
-            mean_s = run.times.mean_s(lot.model) if lane is not None else None
+        now, total = self.store.clock.now(), 0.0
+        for job_id, queue in run.queues.items():
+            batch_job = run.leadership.batch_jobs.get(job_id)
+            route = lane_of(self.store.plan, batch_job) if batch_job is not None and not batch_job.ended else None
+            mean_s = run.times.mean_s(batch_job.model) if route is not None else None
             if mean_s is None:
                 continue
-            running = len(run.entries.get(lid, ())) - sum(queue.waiting)
-            left_s = DONE_BY * (lot.taken + lane.due_s - now)
+            running = len(run.entries.get(job_id, ())) - sum(queue.waiting)
+            left_s = DONE_BY * (batch_job.taken + route.due_s - now)
             share = min(1.0, mean_s / left_s) if left_s > 0 else 1.0
             total += share * (queue.waiting[False] + max(0, running))
         return total
 
-    def _in_time(self, run: LedPartitions, lot, waiting: int, running: int, now: float) -> bool:
+    def _in_time(self, run: LedPartitions, batch_job, waiting: int, running: int, now: float) -> bool:
         """Whether so many waiting items of a lot would be done well before it is due."""
-        lane, done_s = lane_of(self.st.plan, lot), run.times.forecast(lot.model, waiting, running)
-        return lane is not None and done_s is not None and done_s <= IN_TIME * (lot.taken + lane.due_s - now)
+        route, done_s = lane_of(self.store.plan, batch_job), run.times.forecast(batch_job.model, waiting, running)
+        return route is not None and done_s is not None and done_s <= IN_TIME * (batch_job.taken + route.due_s - now)
 
-    def room_for(self, run: LedPartitions, lanes: list) -> int:
+    def room_for(self, run: LedPartitions, routes: list) -> int:
         """Free places where any of these lanes may run."""
-        now, placement = self.st.clock.now(), self.st.placement
-        zones = {zone for lane in {id(x): x for x in lanes}.values() for zone in placement.zones(lane) or ()}
-        engines = [e for e in self.st.engines.of(run.reign.run) if e.zone in zones]
+        now, placement = self.store.clock.now(), self.store.placement
+        zones = {zone for route in {id(x): x for x in routes}.values() for zone in placement.zones(route) or ()}
+        engines = [e for e in self.store.engines.of(run.leadership.run) if e.zone in zones]
         return sum(max(0, self.open(e, now)) for e in engines)
--- a/archhatch/share_group/window.py
+++ b/archhatch/share_group/window.py
@@ -52,7 +52,7 @@
     """One item of an open lot at its offset. partial: what released runs made of its text."""
 
     offset: int
-    lot: object
+    batch_job: object
     item: object
     rank: int
     state: EntryState = EntryState.AVAILABLE
@@ -78,7 +78,7 @@
         >>> ShareEntry(0, type("L", (), {"least": 2})(), None, 0, texts=["a"], versions={3}).fits(4, True)
         False
         """
-        if version < self.lot.least or any(v < self.lot.least for v in self.versions):
+        if version < self.batch_job.least or any(v < self.batch_job.least for v in self.versions):
             return False
         return not (single and self.versions and self.versions != {version})
 
@@ -121,10 +121,10 @@
             self.start += 1
         self.end = max(self.end, self.start)
 
-    def append(self, lot, item, rank: int, offset: int | None = None) -> ShareEntry:
+    def append(self, batch_job, item, rank: int, offset: int | None = None) -> ShareEntry:
         """A new entry behind all others, or at the offset that it had under an earlier leader."""
         at = self.next if offset is None or offset in self.entries or offset < self.start else offset
-        e = self.entries[at] = ShareEntry(at, lot, item, rank)
+        e = self.entries[at] = ShareEntry(at, batch_job, item, rank)
         e.deliveries = self.counts.pop(at, 0)
         self.next = max(self.next, at + 1)
         return e
--- a/archhatch/share_group/window_journal.py
+++ b/archhatch/share_group/window_journal.py
@@ -30,7 +30,7 @@
 class WindowJournal:
     """Makes the records of one window and reads them back.
 
-    >>> # rec = journal.next(window); await copier.put(run, epoch, [rec])
+    >>> # record = journal.next(window); await replicator.put(run, epoch, [record])
     """
 
     def __init__(self, run: str, partition: str):
@@ -64,7 +64,7 @@
         marks, win.dirty = win.dirty, {}
         return self._rec("U", win.epoch, {"start": win.start, "next": win.next, "batches": batches(marks)})
 
-    def restore(self, win: SharePartition, found: list, ctr) -> None:
+    def restore(self, win: SharePartition, found: list, counters) -> None:
         """Load the newest snapshot among the records that stores told, then its deltas in order up to the first gap.
 
         found: [(head, body), ...] from several stores, in any order, doubles included.
@@ -78,14 +78,14 @@
         while len(docs) in ups:
             docs.append(ups[len(docs)])
         if len(docs) - 1 != len(ups):
-            ctr.add("share.delta_missing")
+            counters.add("share.delta_missing")
         for n, raw in enumerate(docs):
             try:
                 doc = orjson.loads(raw)
                 marks = [(int(a), int(b), int(s), int(c)) for a, b, s, c in doc["batches"]]
                 win.start, win.next = int(doc["start"]), max(win.next, int(doc["next"]))
             except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
-                ctr.add("share.delta_damaged" if n else "share.snapshot_damaged")
+                counters.add("share.delta_damaged" if n else "share.snapshot_damaged")
                 break
             for first, last, _, count in marks:
                 for off in range(first, last + 1):
--- a/archhatch/share_group/worker.py
+++ b/archhatch/share_group/worker.py
@@ -32,32 +32,32 @@
 class Worker:
     """Pulls from the leader of every run and runs what it gets.
 
-    >>> # worker = Worker(store); crew.keep("worker", worker.run)
+    >>> # worker = Worker(store); task_group.keep("worker", worker.run)
     """
 
     def __init__(self, store):
-        self.st = store
+        self.store = store
         self.desks: dict[str, LeaderSession] = {}
         self.lull = LoadLimit()
         self.stream = ItemStream(store)
         self.scoring = Scoring(store, self.lull)
-        self.hold_s = store.boot.secs("CancelMs", 0.25)
-        self.touch_s = store.boot.secs("CancelMs", 0.5)
+        self.hold_s = store.settings.seconds("CancelMs", 0.25)
+        self.touch_s = store.settings.seconds("CancelMs", 0.5)
 
     async def run(self) -> None:
         """One pulling and one committing task for each run that there is."""
-        st, turn = self.st, 0
+        store, turn = self.store, 0
         while True:
-            for run in st.tenures():
+            for run in store.tenures():
                 if run not in self.desks:
                     self.desks[run] = LeaderSession()
-                    st.crew.keep("pull", self._pull, run)
-                    st.crew.keep("commit", self._commit, run)
+                    store.task_group.keep("pull", self._pull, run)
+                    store.task_group.keep("commit", self._commit, run)
                 desk, lead = self.desks[run], self._leader(run)
                 if lead is not None and lead[0] != desk.epoch:
                     desk.poke.set()  # another leads now: don't wait for the old one's answer
-            self.lull.heed(st.news.busy)
-            turn = await st.board.news("work", turn, st.beat_s)
+            self.lull.heed(store.config_watcher.busy)
+            turn = await store.state_board.wait_for_change("work", turn, store.heartbeat_interval_s)
 
     async def leave(self) -> None:
         """Give everything back at once: what runs is released with what was made of it, what is whole is committed."""
@@ -65,62 +65,62 @@
             for job in list(desk.jobs.values()):
                 if job.state == "running" and job.task is not None:
                     job.task.cancel()
-        end = self.st.clock.now() + self.st.quiet_s
-        while self.st.clock.now() < end and any(
+        end = self.store.clock.now() + self.store.quiet_s
+        while self.store.clock.now() < end and any(
             j.row is not None or j.state == "running" for d in self.desks.values() for j in d.jobs.values()
         ):
-            await asyncio.sleep(self.st.beat_s * 0.1)
+            await asyncio.sleep(self.store.heartbeat_interval_s * 0.1)
 
     def _leader(self, run: str):
-        ten = self.st.tenures().get(run)
-        member = self.st.members().get(ten["holder"]) if ten else None
+        ten = self.store.tenures().get(run)
+        member = self.store.members().get(ten["holder"]) if ten else None
         return (ten["term"], ten["holder"], member["addr"]) if member else None
 
-    async def _ask(self, sid: str, addr: str, verb: str, doc: dict, body: bytes, secs: float):
+    async def _ask(self, sid: str, address: str, verb: str, doc: dict, body: bytes, timeout_s: float):
         """Call the leader, which may be this very node."""
         doc = {"to": sid, **doc}
-        if sid == self.st.id:
+        if sid == self.store.id:
             try:
-                out = await self.st.verbs.table[verb](doc, body)
+                out = await self.store.verbs.table[verb](doc, body)
             except Refusal as e:
                 return e.code, e.doc, b""
             doc, raw = out if isinstance(out, tuple) else (out, b"")
             return 1000, doc, raw
-        return await self.st.lines.to(addr).call(verb, doc, body, secs=secs)
+        return await self.store.connections.to(address).call(verb, doc, body, timeout_s=timeout_s)
 
     # -- pulling
 
     async def _pull(self, run: str) -> None:
-        st, desk = self.st, self.desks[run]
+        store, desk = self.store, self.desks[run]
         while True:
             lead = self._leader(run)
-            if lead is None or not st.ready or st.leaving:
-                await asyncio.sleep(st.beat_s)
+            if lead is None or not store.ready or store.leaving:
+                await asyncio.sleep(store.heartbeat_interval_s)
                 continue
             if lead[0] != desk.epoch:
                 desk.epoch, desk.attach = lead[0], True
             desk.poke.clear()
-            poll = st.crew.once("poll", self._poll, run, desk, lead)
+            poll = store.task_group.once("poll", self._poll, run, desk, lead)
             poke = asyncio.ensure_future(desk.poke.wait())
             try:
                 await asyncio.wait([poll, poke], return_when=asyncio.FIRST_COMPLETED)
             finally:
                 poke.cancel()
             if poll.done() and not poll.cancelled() and poll.result() is not True:
-                await asyncio.sleep(st.beat_s * 0.25)
+                await asyncio.sleep(store.heartbeat_interval_s * 0.25)
 
     async def _poll(self, run: str, desk: LeaderSession, lead: tuple) -> bool:
         """One question to the leader; takes up what it answers. False if it gave nothing to go on."""
-        st, (epoch, sid, addr) = self.st, lead
-        sent = st.clock.now()
+        store, (epoch, sid, address) = self.store, lead
+        sent = store.clock.now()
         desk.poll += 1
         off, got = list(desk.off), list(desk.got)
         held = [j for j in desk.jobs.values()] if desk.attach else None
         doc = {
-            "worker": st.id,
-            "life": st.life,
-            "zone": st.boot.zone,
-            "lag": st.lag,
+            "worker": store.id,
+            "life": store.incarnation,
+            "zone": store.settings.zone,
+            "lag": store.lag,
             "run": run,
             "epoch": epoch,
             "poll": desk.poll,
@@ -132,7 +132,7 @@
             else [[*j.key(), j.card["engine"] if j.state == "running" else None] for j in held],
         }
         try:
-            code, out, raw = await self._ask(sid, addr, "share.fetch", doc, b"", self.hold_s + st.quiet_s)
+            code, out, raw = await self._ask(sid, address, "share.fetch", doc, b"", self.hold_s + store.quiet_s)
         except CallError:
             return False
         if epoch != desk.epoch:
@@ -143,9 +143,9 @@
             return False
         if out.get("old"):
             return True
-        if st.clock.now() - sent > self.touch_s:
+        if store.clock.now() - sent > self.touch_s:
             # it lay on the way, or this node stood still: what it hands out may be ended by now
-            st.ctr.add("share.stale_batch")
+            store.counters.add("share.stale_batch")
             return False
         desk.heard = max(desk.heard, sent)
         desk.off = [x for x in desk.off if x not in off]
@@ -153,12 +153,12 @@
         if out["kept"] is not None and held is not None:
             self._keep(desk, held, out["kept"])
             desk.attach = False
-        for part, offset, delivery, why in out["drop"]:
+        for shard, offset, delivery, why in out["drop"]:
             job = next(
                 (
                     j
                     for j in desk.jobs.values()
-                    if (j.card["part"], j.card["off"], j.card["dc"]) == (part, offset, delivery)
+                    if (j.card["part"], j.card["off"], j.card["dc"]) == (shard, offset, delivery)
                 ),
                 None,
             )
@@ -169,12 +169,12 @@
             desk.got.append(out["batch"])
             for card in orjson.loads(raw):
                 self._take(run, desk, card, sent)
-        st.board.touch("score")
+        store.state_board.touch("score")
         return True
 
     def _keep(self, desk: LeaderSession, held: list, kept: list) -> None:
         """Under a new epoch only what its leader took up again stays."""
-        new = {(lid, iid): (offset, delivery) for lid, iid, offset, delivery in kept}
+        new = {(job_id, iid): (offset, delivery) for job_id, iid, offset, delivery in kept}
         desk.off = []
         for job in held:
             mine = new.get(job.key())
@@ -184,7 +184,7 @@
                     job.task.cancel()
                 continue
             job.card["off"], job.card["dc"] = mine
-            job.until = self.st.clock.now() + job.card["lock"]
+            job.until = self.store.clock.now() + job.card["lock"]
             if job.row is not None:
                 job.row["off"], job.row["dc"] = mine
             if job.state != "running":
@@ -209,12 +209,12 @@
         job.item = SimpleNamespace(iid=card["iid"], scorer=card["scorer"])
         job.may_send = lambda: self._may_send(job)
         desk.jobs[key] = job
-        job.task = self.st.crew.once("item", self._run, desk, job)
+        job.task = self.store.task_group.once("item", self._run, desk, job)
 
     def _may_send(self, job: AcquiredEntry) -> bool:
         """Whether a new request of this entry may reach a replica: the lock stands and the leader was heard lately, so
         that the lot cannot have been ended for longer than the bound allows."""
-        now = self.st.clock.now()
+        now = self.store.clock.now()
         desk = self.desks[job.run]
         return now < job.until and now - desk.heard <= self.touch_s and desk.jobs.get(job.key()) is job
 
@@ -252,7 +252,7 @@
             if desk.jobs.get(job.key()) is job:
                 desk.jobs.pop(job.key())
             raise
-        self.st.ctr.add("item." + doc["OperState"])
+        self.store.counters.add("item." + doc["OperState"])
         self._settle(desk, job, "accept" if doc["OperState"] == "complete" else "reject", doc)
 
     def _off(self, desk: LeaderSession, job: AcquiredEntry) -> None:
@@ -289,7 +289,7 @@
 
     async def _commit(self, run: str) -> None:
         """Bring settlements to the leader, all that wait in one call; again until it answers."""
-        st, desk = self.st, self.desks[run]
+        store, desk = self.store, self.desks[run]
         while True:
             await desk.ready.wait()
             desk.ready.clear()
@@ -298,7 +298,7 @@
             if not jobs:
                 continue
             if lead is None or lead[0] != desk.epoch or desk.attach:
-                await asyncio.sleep(st.beat_s * 0.25)  # _pull takes them to the new leader first
+                await asyncio.sleep(store.heartbeat_interval_s * 0.25)  # _pull takes them to the new leader first
                 desk.ready.set()
                 continue
             rows = [dict(j.row) for j in jobs]
@@ -307,17 +307,17 @@
                     lead[1],
                     lead[2],
                     "share.commit",
-                    {"worker": st.id, "run": run, "epoch": desk.epoch},
+                    {"worker": store.id, "run": run, "epoch": desk.epoch},
                     orjson.dumps(rows),
-                    st.quiet_s * 2,
+                    store.quiet_s * 2,
                 )
             except CallError:
                 code, out = 0, None
             if code == 3007:
                 desk.attach = True
             if code != 1000:
-                st.ctr.add("share.uncommitted")
-                await asyncio.sleep(st.beat_s * 0.5)
+                store.counters.add("share.uncommitted")
+                await asyncio.sleep(store.heartbeat_interval_s * 0.5)
                 desk.ready.set()
                 continue
             for job, row, done in zip(jobs, rows, out["done"]):
@@ -328,6 +328,6 @@
                 ):
                     desk.jobs.pop(job.key())
                     if not done:
-                        st.ctr.add("share.lost_settlement")
+                        store.counters.add("share.lost_settlement")
             if any(j.row is not None for j in desk.jobs.values()):
                 desk.ready.set()
--- a/archhatch/simulation/checker.py
+++ b/archhatch/simulation/checker.py
@@ -58,7 +58,7 @@
     newest: dict[tuple, int] = {}
     out = []
     for seen in history.seen:
-        key = (seen.reader, seen.life)
+        key = (seen.reader, seen.incarnation)
         if seen.revision < newest.get(key, 0):
             out.append(Violation(Rule.BACK, f"{seen.reader} has {seen.revision} after {newest[key]} at {seen.at:.3f}"))
         newest[key] = max(seen.revision, newest.get(key, 0))
@@ -263,7 +263,7 @@
     """Readers tell what they hold often enough to be judged by that alone; a new life has ConvergeMs to catch up."""
     floor, out, begun = _Floor(_operations(history, chain)), [], {}
     for seen in history.seen:
-        since = begun.setdefault((seen.reader, seen.life), seen.at)
+        since = begun.setdefault((seen.reader, seen.incarnation), seen.at)
         then = seen.at - history.converge_s
         calm = any(c.start <= then and seen.at <= c.end for c in history.calms)
         position = chain.position.get(seen.revision)
--- a/archhatch/simulation/command.py
+++ b/archhatch/simulation/command.py
@@ -38,11 +38,11 @@
     >>> read_seeds("0:500"), read_seeds("7")
     (range(0, 500), range(7, 8))
     """
-    parts = text.split(":")
-    if len(parts) > 2 or not all(part.isdigit() for part in parts):
+    shards = text.split(":")
+    if len(shards) > 2 or not all(shard.isdigit() for shard in shards):
         raise UsageError(f"--seeds: say FROM:TO, not {text!r}")
-    first = int(parts[0])
-    seeds = range(first, int(parts[1]) if len(parts) == 2 else first + 1)
+    first = int(shards[0])
+    seeds = range(first, int(shards[1]) if len(shards) == 2 else first + 1)
     if not seeds:
         raise UsageError(f"--seeds: {text} holds none")
     return seeds
--- a/archhatch/simulation/control_node.py
+++ b/archhatch/simulation/control_node.py
@@ -21,7 +21,7 @@
 SAMPLE_S = 0.25
 
 
-def settings(deployment: Deployment, host: str, seeds: list, bootstrap: bool):
+def simulated_settings(deployment: Deployment, host: str, seeds: list, bootstrap: bool):
     """The settings of a machine, as its settings file would have them."""
     shape = deployment.shape
     bounds = {
@@ -77,9 +77,9 @@
         handlers.on("http")(self._serve)
         self._server = place.server(handlers, None, None)
 
-    async def open(self, addr: str) -> None:
+    async def open(self, address: str) -> None:
         """Answer callers at an address."""
-        await self._server.open(addr)
+        await self._server.open(address)
 
     async def _serve(self, doc: dict, body: bytes):
         request = SimpleNamespace(method=doc["method"], raw_path=doc["path"], headers=doc["headers"])
@@ -94,12 +94,12 @@
 class SimulatedControlNode:
     """One life of a control node."""
 
-    def __init__(self, machine: Machine, life: Life, deployment: Deployment):
-        place = machine.network.at(machine.host, life)
+    def __init__(self, machine: Machine, incarnation: Life, deployment: Deployment):
+        place = machine.network.at(machine.host, incarnation)
         seeds = deployment.first_hosts[:SEEDS] if machine.bootstrap else deployment.some_hosts(SEEDS)
-        boot = settings(deployment, machine.host, seeds, machine.bootstrap)
+        settings = simulated_settings(deployment, machine.host, seeds, machine.bootstrap)
         log = QuietLog(deployment.loop.faults)
-        self.node = ControlNode(boot, log, VirtualClock(machine.loop), place, machine.disk)
+        self.node = ControlNode(settings, log, VirtualClock(machine.loop), place, machine.disk)
         self.node.window = _Entry(place, self.node.administration.answer)
 
     async def start(self) -> None:
@@ -127,16 +127,16 @@
         loop.spawn(self._life, self._run(self._lives))
 
     async def _run(self, number: int) -> None:
-        deployment, counters, board = self.deployment, Counters(), StateBoard()
-        boot = settings(deployment, self.name, deployment.some_hosts(SEEDS), False)
+        deployment, counters, state_board = self.deployment, Counters(), StateBoard()
+        settings = simulated_settings(deployment, self.name, deployment.some_hosts(SEEDS), False)
         pool = deployment.network.at(self.name, self._life).pool(counters)
         card = {"id": f"{self.name}-{number}", "klass": "edge", "name": self.name, "ip": self.name, "zone": "z"}
-        reader = ConfigWatcher(boot, card, pool, board, VirtualClock(deployment.loop), counters)
+        reader = ConfigWatcher(settings, card, pool, state_board, VirtualClock(deployment.loop), counters)
         task = asyncio.ensure_future(reader.run())
         while not task.done():
-            plan = reader.parts.get(PLAN, {}).get("plan") or {"Revision": 0}
+            plan = reader.shards.get(PLAN, {}).get("plan") or {"Revision": 0}
             deployment.history.seen.append(Seen(self.name, number, deployment.loop.time(), plan["Revision"]))
-            await board.news("parts", board.turn("parts"), SAMPLE_S)
+            await state_board.wait_for_change("parts", state_board.turn("parts"), SAMPLE_S)
 
     async def run(self, end: float) -> None:
         """Live until a moment, at times anew."""
--- a/archhatch/simulation/deployment.py
+++ b/archhatch/simulation/deployment.py
@@ -203,7 +203,9 @@
 
     def shut(self) -> None:
         """Forget what is under way."""
-        self.loop.shut([life for machine in self.all_machines for life in machine.lives] + self.other_lives)
+        self.loop.shut(
+            [incarnation for machine in self.all_machines for incarnation in machine.lives] + self.other_lives
+        )
 
 
 _BEGIN = {
--- a/archhatch/simulation/history.py
+++ b/archhatch/simulation/history.py
@@ -67,7 +67,7 @@
     """A reader of the data plane has a revision from now on."""
 
     reader: str
-    life: int
+    incarnation: int
     at: float
     revision: int
 
--- a/archhatch/simulation/loop.py
+++ b/archhatch/simulation/loop.py
@@ -93,13 +93,13 @@
 
     def _make_task(self, loop, coro, context=None) -> asyncio.Task:
         task = _Task(coro, loop=loop, context=context)
-        life = context.get(CURRENT_LIFE) if context is not None else CURRENT_LIFE.get()
-        (self._pending if life is None else life.tasks).append(task)
+        incarnation = context.get(CURRENT_LIFE) if context is not None else CURRENT_LIFE.get()
+        (self._pending if incarnation is None else incarnation.tasks).append(task)
         return task
 
-    def spawn(self, life: Life, coro) -> asyncio.Task:
+    def spawn(self, incarnation: Life, coro) -> asyncio.Task:
         """Run a coroutine as a task of a life."""
-        return self.create_task(coro, context=life.context.copy())
+        return self.create_task(coro, context=incarnation.context.copy())
 
     def call_outside(self, delay: float, callback, *args) -> asyncio.TimerHandle:
         """Call back after a delay as no life's doing: what is under way in the world does not die with a process."""
@@ -107,21 +107,21 @@
 
     # -- lives
 
-    def end(self, life: Life) -> None:
+    def end(self, incarnation: Life) -> None:
         """Drop all that a life would still do."""
-        life.alive = False
-        life.frozen = False
-        life.held.clear()
+        incarnation.alive = False
+        incarnation.frozen = False
+        incarnation.held.clear()
 
-    def freeze(self, life: Life) -> None:
+    def freeze(self, incarnation: Life) -> None:
         """Hold a life's handles back."""
-        life.frozen = life.alive
+        incarnation.frozen = incarnation.alive
 
-    def thaw(self, life: Life) -> None:
+    def thaw(self, incarnation: Life) -> None:
         """Let a frozen life go on with all that came due meanwhile."""
-        life.frozen = False
-        self._ready.extend(life.held)
-        life.held.clear()
+        incarnation.frozen = False
+        self._ready.extend(incarnation.held)
+        incarnation.held.clear()
 
     # -- the scheduler
 
@@ -136,12 +136,12 @@
             raise SimulationStuck(f"{MOST_STEPS} steps until {self._now:.3f} s")
 
     def _run_handle(self, handle) -> None:
-        life = handle._context.get(CURRENT_LIFE)
-        if life is None:
+        incarnation = handle._context.get(CURRENT_LIFE)
+        if incarnation is None:
             handle._run()
-        elif life.frozen:
-            life.held.append(handle)
-        elif life.alive:
+        elif incarnation.frozen:
+            incarnation.held.append(handle)
+        elif incarnation.alive:
             handle._run()
 
     def _take_due(self) -> None:
@@ -175,8 +175,8 @@
 
     def run_in_executor(self, executor, func, *args) -> asyncio.Future:
         """Run a blocking call in virtual time: its effects on the disk come at their moments, its end at the last."""
-        life, future = CURRENT_LIFE.get(), self.create_future()
-        disk = life.disk if life is not None else None
+        incarnation, future = CURRENT_LIFE.get(), self.create_future()
+        disk = incarnation.disk if incarnation is not None else None
         result, fault, took = None, None, 0.0
         if disk is not None:
             disk.begin(self._now)
@@ -206,7 +206,7 @@
     def shut(self, lives: list) -> None:
         """End the simulation quietly: what was under way is forgotten, not unwound in public."""
         self._ended = True
-        for task in [task for life in lives for task in life.tasks] + self._pending:
+        for task in [task for incarnation in lives for task in incarnation.tasks] + self._pending:
             task._log_destroy_pending = False
             with contextlib.suppress(RuntimeError, ValueError):
                 task.get_coro().close()
--- a/archhatch/simulation/machine.py
+++ b/archhatch/simulation/machine.py
@@ -22,7 +22,7 @@
         self._freezes = 0
         self.bootstrap = True  # only for its first start
         self.gone = False
-        self.life: Life | None = None
+        self.incarnation: Life | None = None
         self.lives: list[Life] = []
         self.node = None
         self.own_ends = 0
@@ -30,33 +30,33 @@
     @property
     def running(self) -> bool:
         """Whether its process lives."""
-        return self.life is not None and self.life.alive
+        return self.incarnation is not None and self.incarnation.alive
 
     def start(self) -> None:
         """Start the process, unless something keeps the machine down."""
         if self._down or self.gone or self.running:
             return
-        life = Life(f"{self.host}#{len(self.lives) + 1}")
-        life.disk = self.disk
-        self.life = life
-        self.lives.append(life)
+        incarnation = Life(f"{self.host}#{len(self.lives) + 1}")
+        incarnation.disk = self.disk
+        self.incarnation = incarnation
+        self.lives.append(incarnation)
         self.network.dark.discard(self.host)
         # building it draws no handles, but belongs to the life all the same
-        self.node = life.context.run(self._build, self, life)
-        self.loop.spawn(life, self._run(life))
+        self.node = incarnation.context.run(self._build, self, incarnation)
+        self.loop.spawn(incarnation, self._run(incarnation))
 
-    async def _run(self, life: Life) -> None:
+    async def _run(self, incarnation: Life) -> None:
         try:
             await self.node.start()
             self.bootstrap = False
         except (OSError, LogError):
             self.own_ends += 1
-            self.loop.call_outside(0.0, self._end, life)
+            self.loop.call_outside(0.0, self._end, incarnation)
 
-    def _end(self, life: Life) -> None:
+    def _end(self, incarnation: Life) -> None:
         """The process ended by itself: it is started again a little later."""
-        if life.alive:
-            self.loop.end(life)
+        if incarnation.alive:
+            self.loop.end(incarnation)
             self.disk.kill()
             self.loop.call_outside(RESTART_S, self.start)
 
@@ -64,8 +64,8 @@
         """Kill the process, or cut the power; it stays down until bring_up()."""
         self._down += 1
         self.bootstrap = False
-        if self.life is not None:
-            self.loop.end(self.life)
+        if self.incarnation is not None:
+            self.loop.end(self.incarnation)
         if power:
             self.network.dark.add(self.host)
             self.disk.lose_power()
@@ -80,11 +80,11 @@
     def freeze(self) -> None:
         """Hold the process."""
         self._freezes += 1
-        if self.life is not None:
-            self.loop.freeze(self.life)
+        if self.incarnation is not None:
+            self.loop.freeze(self.incarnation)
 
     def thaw(self) -> None:
         """One freeze is over."""
         self._freezes -= 1
-        if self.life is not None and not self._freezes:
-            self.loop.thaw(self.life)
+        if self.incarnation is not None and not self._freezes:
+            self.loop.thaw(self.incarnation)
--- a/archhatch/simulation/network.py
+++ b/archhatch/simulation/network.py
@@ -55,9 +55,9 @@
         self._slowness: dict[tuple, int] = {}
         self._held: dict = defaultdict(list)
 
-    def at(self, host: str, life: Life | None = None) -> HostNetwork:
+    def at(self, host: str, incarnation: Life | None = None) -> HostNetwork:
         """The network as a life on a host sees it."""
-        return HostNetwork(self, host, life)
+        return HostNetwork(self, host, incarnation)
 
     # -- links
 
@@ -99,20 +99,20 @@
         return host not in self.dark
 
 
-def host_of(addr: str) -> str:
+def host_of(address: str) -> str:
     """The host of an address.
 
     >>> host_of("10.0.0.1:7380")
     '10.0.0.1'
     """
-    return addr.rsplit(":", 1)[0]
+    return address.rsplit(":", 1)[0]
 
 
 class HostNetwork:
     """What a node gets as its network: pools of connections, and servers."""
 
-    def __init__(self, network: SimulatedNetwork, host: str, life: Life | None):
-        self.network, self.host, self.life = network, host, life
+    def __init__(self, network: SimulatedNetwork, host: str, incarnation: Life | None):
+        self.network, self.host, self.incarnation = network, host, incarnation
 
     def pool(self, counters) -> SimulatedPool:
         """Connections from this host."""
@@ -130,9 +130,9 @@
         self._place = place
         self._connections: dict[str, SimulatedConnection] = {}
 
-    def to(self, addr: str) -> SimulatedConnection:
+    def to(self, address: str) -> SimulatedConnection:
         """The connection to an address."""
-        return self._connections.setdefault(addr, SimulatedConnection(self._place, addr))
+        return self._connections.setdefault(address, SimulatedConnection(self._place, address))
 
     def end(self) -> None:
         """Nothing stays open here."""
@@ -141,11 +141,13 @@
 class SimulatedConnection:
     """Calls to one address."""
 
-    def __init__(self, place: HostNetwork, addr: str):
-        self._place, self.addr = place, addr
+    def __init__(self, place: HostNetwork, address: str):
+        self._place, self.address = place, address
         self.heard = float("-inf")
 
-    async def call(self, verb: str, doc: object = None, body: bytes = b"", secs: float = 1.0, to: str | None = None):
+    async def call(
+        self, verb: str, doc: object = None, body: bytes = b"", timeout_s: float = 1.0, to: str | None = None
+    ):
         """Send a call and wait for its answer: (code, document, body). CallError if none comes."""
         network, head = self._place.network, orjson.dumps(doc)
         future = network.loop.create_future()
@@ -153,30 +155,32 @@
         def deliver() -> None:
             self._arrive(future, verb, head, body, to or "")
 
-        twice = self._place.life is not None and network.chance(network.weather.duplicates)  # callers outside have TCP
+        twice = self._place.incarnation is not None and network.chance(
+            network.weather.duplicates
+        )  # callers outside have TCP
         for _ in range(2 if twice else 1):
-            network.transmit(self._place.host, host_of(self.addr), deliver)
+            network.transmit(self._place.host, host_of(self.address), deliver)
         try:
-            answer = await asyncio.wait_for(future, secs)
+            answer = await asyncio.wait_for(future, timeout_s)
         except (asyncio.TimeoutError, TimeoutError) as fault:
-            raise CallError(f"{self.addr}: {verb}: no answer in {secs}s", sent=True) from fault
+            raise CallError(f"{self.address}: {verb}: no answer in {timeout_s}s", sent=True) from fault
         return answer.code, orjson.loads(answer.head) if answer.head else None, answer.body
 
     def _arrive(self, future, verb: str, head: bytes, body: bytes, to: str) -> None:
-        network, here, there = self._place.network, self._place.host, host_of(self.addr)
+        network, here, there = self._place.network, self._place.host, host_of(self.address)
         if not network.heard_at(there):
             return
-        server = network.servers.get(self.addr)
-        if server is None or not server.life.alive:
-            network.transmit(there, here, lambda: _fail(future, CallError(f"{self.addr}: refused", sent=False)))
+        server = network.servers.get(self.address)
+        if server is None or not server.incarnation.alive:
+            network.transmit(there, here, lambda: _fail(future, CallError(f"{self.address}: refused", sent=False)))
             return
         if network.chance(network.weather.resets):
-            network.transmit(there, here, lambda: _fail(future, CallError(f"{self.addr}: reset", sent=True)))
+            network.transmit(there, here, lambda: _fail(future, CallError(f"{self.address}: reset", sent=True)))
 
         def reply(answer: _Answer) -> None:
             network.transmit(there, here, lambda: _fulfil(future, answer))
 
-        network.loop.spawn(server.life, server.run(verb, head, body, to, reply))
+        network.loop.spawn(server.incarnation, server.run(verb, head, body, to, reply))
 
 
 def _fulfil(future: asyncio.Future, answer: _Answer) -> None:
@@ -194,13 +198,13 @@
 
     def __init__(self, place: HostNetwork, handlers, identity):
         self._place, self._handlers, self._identity = place, handlers, identity
-        self.life = place.life
+        self.incarnation = place.incarnation
         self._addr = ""
 
-    async def open(self, addr: str) -> None:
+    async def open(self, address: str) -> None:
         """Answer at an address from now on."""
-        self._addr = addr
-        self._place.network.servers[addr] = self
+        self._addr = address
+        self._place.network.servers[address] = self
 
     async def close(self) -> None:
         """Stop answering."""
--- a/archhatch/simulation/operators.py
+++ b/archhatch/simulation/operators.py
@@ -79,7 +79,7 @@
         for _ in range(1 + REDIRECTS):
             doc = {"method": method, "path": path, "headers": headers}
             try:
-                code, out, raw = await self._pool.to(f"{host}:{HTTP_PORT}").call("http", doc, body, secs=SILENCE_S)
+                code, out, raw = await self._pool.to(f"{host}:{HTTP_PORT}").call("http", doc, body, timeout_s=SILENCE_S)
             except CallError:
                 return 0, b""
             if code != 1000 or out["status"] != 307:
@@ -236,7 +236,7 @@
     async def _do(self, run: str, name: str, args: dict) -> tuple:
         doc = {"part": f"of:{run}", "name": name, "args": args}
         try:
-            code, out, _ = await self._pool.to(f"{self.pick()}:{CALL_PORT}").call("do", doc, secs=SILENCE_S)
+            code, out, _ = await self._pool.to(f"{self.pick()}:{CALL_PORT}").call("do", doc, timeout_s=SILENCE_S)
         except CallError:
             self.avoid()
             return 0, None
--- a/archhatch/simulation/planted_faults.py
+++ b/archhatch/simulation/planted_faults.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from ..consensus import acceptor, proposal_number as ballot, group, proposer
+from ..consensus import acceptor, proposal_number as proposal_number, group, proposer
 from ..control import registers
 from ..control.node import ControlNode
 from ..wal import WriteAheadLog
@@ -59,22 +59,22 @@
 @plant("memory-before-disk", "a promise counts only once its sync has returned")
 def _memory_before_disk():
     async def prepare(self, wanted):
-        wanted = ballot.ProposalNumber.read(wanted)
+        wanted = proposal_number.ProposalNumber.read(wanted)
         if wanted < self.promised:
             return {"ok": False, "promised": self.promised.wire()}
         if wanted > self.promised:
             self.promised = wanted
-            await self.book.append(orjson.dumps({"p": self.part, "b": wanted.wire()}))
-        return {"ok": True, "ballot": self.ballot.wire(), "state": self.state}
+            await self.wal.append(orjson.dumps({"p": self.shard, "b": wanted.wire()}))
+        return {"ok": True, "ballot": self.proposal_number.wire(), "state": self.state}
 
     async def accept(self, wanted, state):
-        wanted = ballot.ProposalNumber.read(wanted)
+        wanted = proposal_number.ProposalNumber.read(wanted)
         if wanted < self.promised:
             return {"ok": False, "promised": self.promised.wire()}
-        if wanted == self.ballot and state["stamp"] <= self.state["stamp"]:
+        if wanted == self.proposal_number and state["stamp"] <= self.state["stamp"]:
             return {"ok": state["stamp"] == self.state["stamp"], "promised": self.promised.wire()}
-        self.promised, self.ballot, self.state = wanted, wanted, state
-        await self.book.append(self.record())
+        self.promised, self.proposal_number, self.state = wanted, wanted, state
+        await self.wal.append(self.record())
         return {"ok": True}
 
     yield mock.patch.object(acceptor.Acceptor, "prepare", prepare)
@@ -106,7 +106,7 @@
     real = acceptor.Acceptor.accept
 
     async def accept(self, wanted, state):
-        before, self.promised = self.promised, min(self.promised, ballot.ProposalNumber.read(wanted))
+        before, self.promised = self.promised, min(self.promised, proposal_number.ProposalNumber.read(wanted))
         out = await real(self, wanted, state)
         self.promised = max(before, self.promised)
         return out
@@ -125,7 +125,7 @@
         got = await self._poll(targets, "part.accept", doc, lambda g: chosen(set(g)))
         if chosen({k for k, a in got.items() if a["ok"]}):
             self.state, self.settled = state, True
-            self._publish(self.part, state)
+            self._publish(self.shard, state)
             return True
         self.lead, self.settled = None, False
         return False
@@ -201,9 +201,9 @@
     for name in ("plan.put", "plan.patch"):
         real = registers.commands.table[name]
 
-        def forgetful(val, args, real=real):
-            val["taken"] = {}
-            return real(val, args)
+        def forgetful(value, args, real=real):
+            value["taken"] = {}
+            return real(value, args)
 
         yield _patch_command(name, forgetful)
 
@@ -213,9 +213,9 @@
     for name in ("plan.put", "plan.patch"):
         real = registers.commands.table[name]
 
-        def lenient(val, args, real=real):
-            match = val.get("plan", {}).get("Revision", 0)
-            code, doc, changed = real(val, {**args, "match": match} if args["match"] < match else args)
+        def lenient(value, args, real=real):
+            match = value.get("plan", {}).get("Revision", 0)
+            code, doc, changed = real(value, {**args, "match": match} if args["match"] < match else args)
             return (2011, None, changed) if args["match"] < match else (code, doc, changed)
 
         yield _patch_command(name, lenient)
@@ -226,16 +226,16 @@
     for name in ("plan.put", "plan.patch"):
         real = registers.commands.table[name]
 
-        def careless(val, args, real=real):
-            return real(val, {**args, "match": val.get("plan", {}).get("Revision", 0)})
+        def careless(value, args, real=real):
+            return real(value, {**args, "match": value.get("plan", {}).get("Revision", 0)})
 
         yield _patch_command(name, careless)
 
 
 @plant("lease-granted-twice", "a term of a lease is granted once")
 def _lease_granted_twice():
-    def claim(val, args):
-        leases = val.setdefault("tenures", {})
+    def claim(value, args):
+        leases = value.setdefault("tenures", {})
         lease = {"holder": args["holder"], "life": args["life"], "term": args["seen"] + 1}
         leases[args["run"]] = lease
         return 1000, lease, True
--- a/archhatch/simulation/register_node.py
+++ b/archhatch/simulation/register_node.py
@@ -41,16 +41,16 @@
 class RegisterNode:
     """One life of a node. The deployment tells which machines are part of it, as an operator's list would."""
 
-    def __init__(self, machine: Machine, life, deployment):
+    def __init__(self, machine: Machine, incarnation, deployment):
         self.machine, self.host, self._deployment = machine, machine.host, deployment
         self.counters = Counters()
-        self.addr = f"{self.host}:{CALL_PORT}"
+        self.address = f"{self.host}:{CALL_PORT}"
         self.id, self.founders = "", None
         self.known: dict | None = None
         self._cards: dict[str, str] = {}  # address -> id of the node that was last heard there
         self._heard: dict[str, float] = {}  # address -> when
         self._started = machine.loop.time()
-        place = machine.network.at(self.host, life)
+        place = machine.network.at(self.host, incarnation)
         self._pool = place.pool(self.counters)
         self._calls = place.server(self._make_handlers(), None, self.counters, lambda: self.id)
         self._entry = place.server(self._make_entry(), None, self.counters)
@@ -80,10 +80,10 @@
             self._base,
             self._publish,
             self.counters,
-            secs=ROUND_S,
+            timeout_s=ROUND_S,
             least=self._version,
         )
-        await self._calls.open(self.addr)
+        await self._calls.open(self.address)
         await self._entry.open(f"{self.host}:{HTTP_PORT}")
         self._tasks.append(asyncio.get_running_loop().create_task(self._tend_loop()))
 
@@ -116,23 +116,23 @@
             best = {"stamp": 0, "val": {}, "voters": self.founders, "prev": None}
         return best
 
-    def _publish(self, part: str, state: dict) -> None:
+    def _publish(self, shard: str, state: dict) -> None:
         if state["stamp"] > self._version():
             self.known = state
 
     # -- calls between nodes
 
-    async def _call(self, addr: str, verb: str, doc: dict, secs: float = CALL_S):
+    async def _call(self, address: str, verb: str, doc: dict, timeout_s: float = CALL_S):
         try:
-            code, out, _ = await self._pool.to(addr).call(verb, doc, secs=secs)
+            code, out, _ = await self._pool.to(address).call(verb, doc, timeout_s=timeout_s)
         except CallError:
             return None
         return out if code == 1000 else None
 
-    async def _ask(self, addr: str, verb: str, doc: dict):
-        if addr == self.addr:
+    async def _ask(self, address: str, verb: str, doc: dict):
+        if address == self.address:
             return await self._calls.handle(verb, doc)
-        return await self._call(addr, verb, doc)
+        return await self._call(address, verb, doc)
 
     def _make_handlers(self) -> Handlers:
         handlers = Handlers()
@@ -215,10 +215,10 @@
             except LogError:
                 self.counters.add("sim.disk_refused")
 
-    async def _hear(self, addr: str) -> None:
-        out = await self._call(addr, "hello", {})
+    async def _hear(self, address: str) -> None:
+        out = await self._call(address, "hello", {})
         if out is not None:
-            self._cards[addr], self._heard[addr] = out["id"], self.machine.loop.time()
+            self._cards[address], self._heard[address] = out["id"], self.machine.loop.time()
             if out["known"] is not None:
                 self._publish(PART, out["known"])
 
@@ -232,10 +232,10 @@
             return
         fresh = {i: a for a, i in self._cards.items() if i not in base["voters"] and now - self._heard[a] < FRESH_S}
         if self.id not in base["voters"]:
-            fresh[self.id] = self.addr
-        for voter, addr in base["voters"].items():
-            if voter != self.id and fresh and self._lost(voter, addr, now):
-                node = next((i for i in fresh if fresh[i] == addr), min(fresh))
+            fresh[self.id] = self.address
+        for voter, address in base["voters"].items():
+            if voter != self.id and fresh and self._lost(voter, address, now):
+                node = next((i for i in fresh if fresh[i] == address), min(fresh))
                 rest = {i: a for i, a in base["voters"].items() if i != voter}
                 await self.proposer.regroup({**rest, node: fresh[node]})
                 return
@@ -247,7 +247,7 @@
             up.append(self.id)
         return min(up, default=None)
 
-    def _lost(self, voter: str, addr: str, now: float) -> bool:
-        if self._cards.get(addr, voter) != voter or addr == self.addr:
+    def _lost(self, voter: str, address: str, now: float) -> bool:
+        if self._cards.get(address, voter) != voter or address == self.address:
             return True
-        return now - max(self._started, self._heard.get(addr, 0.0)) > SILENT_S
+        return now - max(self._started, self._heard.get(address, 0.0)) > SILENT_S
--- a/archhatch/simulation/repair.py
+++ b/archhatch/simulation/repair.py
@@ -33,8 +33,8 @@
     """Play one loss on a group at rest with no machine standing by, and look until it is whole again."""
     shape = replace(Settings(Model.CONTROL, nodes).shape, machines=nodes)
 
-    def build(machine, life):
-        return SimulatedControlNode(machine, life, deployment)
+    def build(machine, incarnation):
+        return SimulatedControlNode(machine, incarnation, deployment)
 
     deployment = Deployment(seed, shape, build)
     before = random.getstate()
@@ -68,16 +68,16 @@
     """Whether every register's group, by its newest chosen state, would keep a majority that holds this state if any
     FaultTolerance of its voters were lost."""
     nodes = [machine.node.node for machine in deployment.machines if machine.running and machine.node is not None]
-    return all(_bears(part, nodes, deployment.shape.tolerance) for part in PARTS)
+    return all(_bears(shard, nodes, deployment.shape.tolerance) for shard in PARTS)
 
 
-def _bears(part: str, nodes: list, losses: int) -> bool:
+def _bears(shard: str, nodes: list, losses: int) -> bool:
     chosen = max(
-        (node.registers.known[part] for node in nodes if part in node.registers.known), key=_version, default=None
+        (node.registers.known[shard] for node in nodes if shard in node.registers.known), key=_version, default=None
     )
     if chosen is None or chosen["prev"]:
         return False
-    current = {n.id for n in nodes if n.registers.acceptors[part].version >= chosen["stamp"]}
+    current = {n.id for n in nodes if n.registers.acceptors[shard].version >= chosen["stamp"]}
     present = sum(1 for voter in chosen["voters"] if voter in current)
     return present - losses > len(chosen["voters"]) // 2
 
--- a/archhatch/simulation/runner.py
+++ b/archhatch/simulation/runner.py
@@ -96,10 +96,10 @@
 
 
 def _deploy(seed: int, settings: Settings) -> Deployment:
-    def build(machine, life):
+    def build(machine, incarnation):
         if settings.model is Model.CONTROL:
-            return SimulatedControlNode(machine, life, deployment)
-        return RegisterNode(machine, life, deployment)
+            return SimulatedControlNode(machine, incarnation, deployment)
+        return RegisterNode(machine, incarnation, deployment)
 
     deployment = Deployment(seed, settings.shape, build)
     return deployment
--- a/archhatch/singleton_roles/admin.py
+++ b/archhatch/singleton_roles/admin.py
@@ -14,17 +14,17 @@
     >>> # result = await SingletonRoleAdmin(node, "plan").answer("duty.list", "")
     """
 
-    def __init__(self, node, part: str):
-        self.node, self.part = node, part
+    def __init__(self, node, shard: str):
+        self.node, self.shard = node, shard
 
     def _groups(self) -> dict:
-        state = self.node.registers.known.get(self.part)
+        state = self.node.registers.known.get(self.shard)
         return state["val"].get("ledger", {}) if state else {}
 
     async def answer(self, name: str, key: str):
         """Run one call: `duty.list` (all duties, or the one of a key) or `duty.reset`."""
         if name == "duty.reset":
-            code, doc = await self._run(name, key, {"key": key, "node": self.node.boot.node})
+            code, doc = await self._run(name, key, {"key": key, "node": self.node.settings.node})
             return json_result(DONE, {"OperState": "IDLE"}) if code == DONE else error_result(code, str(doc))
         duties: dict = {}
         for namespace in [split_key(key)[0]] if key else sorted(self._groups()):
@@ -41,8 +41,8 @@
         group = self._groups().get(split_key(key)[0])
         if group is None:
             return UNKNOWN, key
-        for addr in group["voters"].values():
-            out = await self.node.call(addr, "ledger.run", {"name": name, "args": args, "route": True})
+        for address in group["voters"].values():
+            out = await self.node.call(address, "ledger.run", {"name": name, "args": args, "route": True})
             if out is not None and out["code"] != UNREACHED:
                 return out["code"], out["doc"]
         return UNREACHED, None
--- a/archhatch/singleton_roles/commands.py
+++ b/archhatch/singleton_roles/commands.py
@@ -36,20 +36,20 @@
 def _command(name: str):
     """Register a function of (value, record, holder, args) that changes the record and gives the answer."""
 
-    def put(fn):
+    def put(function):
         @commands.on(name)
-        def run(val, args):
-            before = val.get("duties", {}).get(args["key"])
+        def run(value, args):
+            before = value.get("duties", {}).get(args["key"])
             record = SingletonRole.read(before)
             holder = LeaseHolder(args["node"], args.get("life", ""))
             try:
-                answer = fn(val, record, holder, args)
+                answer = function(value, record, holder, args)
             except RoleRequestRefused as e:
                 return e.code, e.doc, False
             after = record.doc()
             if after != before:
-                val.setdefault("duties", {})[args["key"]] = after
-                _drop_finished(val)
+                value.setdefault("duties", {})[args["key"]] = after
+                _drop_finished(value)
             return DONE, answer, after != before
 
         return run
@@ -68,10 +68,10 @@
     return args.get("seen") == [record.fence, record.renewals] and args.get("seen_s", 0.0) >= record.lease_s
 
 
-def _under(val: dict, holder: LeaseHolder, args: dict) -> None:
+def _under(value: dict, holder: LeaseHolder, args: dict) -> None:
     """RoleRequestRefused unless the caller holds the lease that an effect stands under."""
     lease_key = split_key(args["key"])[0]
-    machine.check_holder(SingletonRole.read(val.get("duties", {}).get(lease_key)), holder, args["fence"])
+    machine.check_holder(SingletonRole.read(value.get("duties", {}).get(lease_key)), holder, args["fence"])
 
 
 def _bounded(doc: object) -> object:
@@ -85,71 +85,71 @@
 
 
 @_command("duty.request")
-def _request(val, record, holder, args):
+def _request(value, record, holder, args):
     return _answer(machine.request(record, holder, args["lease_s"], _lapsed(record, args)))
 
 
 @_command("duty.renew")
-def _renew(val, record, holder, args):
+def _renew(value, record, holder, args):
     machine.renew(record, holder, args["fence"])
 
 
 @_command("duty.release")
-def _release(val, record, holder, args):
+def _release(value, record, holder, args):
     machine.release(record, holder, args["fence"], args["rest_s"])
 
 
 @_command("duty.intend")
-def _intend(val, record, holder, args):
-    _under(val, holder, args)
+def _intend(value, record, holder, args):
+    _under(value, holder, args)
     _, kind, number = split_key(args["key"])
-    if record.fence == 0 and number <= val.get("floors", {}).get(kind, 0):
+    if record.fence == 0 and number <= value.get("floors", {}).get(kind, 0):
         raise RoleRequestRefused(machine.UNKNOWN_DUTY, "it was done, and is forgotten")
     return _answer(machine.intend(record, holder, args["fence"], _bounded(args["intent"])))
 
 
 @_command("duty.commit")
-def _commit(val, record, holder, args):
+def _commit(value, record, holder, args):
     if _is_effect(args["key"]):
-        _under(val, holder, args)
+        _under(value, holder, args)
     machine.commit(record, holder, args["fence"], _bounded(args["result"]))
 
 
 @_command("duty.fail")
-def _fail(val, record, holder, args):
+def _fail(value, record, holder, args):
     if _is_effect(args["key"]):
-        _under(val, holder, args)
+        _under(value, holder, args)
     machine.fail(record, holder, args["fence"], str(args["error"])[:200])
 
 
 @_command("duty.reset")
-def _reset(val, record, holder, args):
-    if args["key"] not in val.get("duties", {}):
+def _reset(value, record, holder, args):
+    if args["key"] not in value.get("duties", {}):
         raise RoleRequestRefused(machine.UNKNOWN_DUTY, args["key"])
     machine.reset(record, holder.node)
 
 
 @commands.on("duty.list")
-def _list(val, args):
+def _list(value, args):
     """All duties of the namespace, sure to be the newest."""
-    return DONE, val.get("duties", {}), False
+    return DONE, value.get("duties", {}), False
 
 
 @commands.on("duty.settle")
-def _settle(val, args):
+def _settle(value, args):
     """Nothing but proof of a majority."""
     return DONE, None, False
 
 
-def _drop_finished(val: dict) -> None:
+def _drop_finished(value: dict) -> None:
     """Forget the oldest finished effects of each kind beyond those that are kept; their numbers are not begun again."""
     finished: dict[str, list] = {}
-    for key, doc in val["duties"].items():
+    for key, doc in value["duties"].items():
         if _is_effect(key) and doc["state"] == RoleState.COMMITTED.value:
             finished.setdefault(split_key(key)[1], []).append(key)
-    floors = val.setdefault("floors", {})
+    floors = value.setdefault("floors", {})
     for kind, keys in finished.items():
         keys.sort(key=lambda key: split_key(key)[2])
         for key in keys[:-KEEP_FINISHED]:
             floors[kind] = max(split_key(key)[2], floors.get(kind, 0))
-            del val["duties"][key]
+            del value["duties"][key]
--- a/archhatch/singleton_roles/group.py
+++ b/archhatch/singleton_roles/group.py
@@ -17,19 +17,19 @@
     """
 
     def __init__(self, store):
-        self.st = store
-        boot = store.boot
-        size = GroupSize.for_losses(boot.tolerate)
+        self.store = store
+        settings = store.settings
+        size = GroupSize.for_losses(settings.tolerate)
         self.size = GroupSize(size.least, size.least)
-        self.patience = Patience(boot.secs("ContactMs", REPLACE), boot.secs("ContactMs", SHRINK))
+        self.patience = Patience(settings.seconds("ContactMs", REPLACE), settings.seconds("ContactMs", SHRINK))
         self.started = store.clock.now()
         self._refusing_since: dict[str, float] = {}
 
     def first(self, namespace: str) -> dict | None:
         """The first voters of a namespace: by rendezvous, one place after the other; None while stores are lacking."""
-        members = active(self.st.members())
-        up = {sid: member for sid, member in members.items() if self.st.membership.stays(sid)}
-        if not self.st.quorum.spares(up):
+        members = active(self.store.members())
+        up = {sid: member for sid, member in members.items() if self.store.membership.stays(sid)}
+        if not self.store.quorum.spares(up):
             return None
         chosen: list[str] = []
         order = rank(namespace, up)
@@ -42,35 +42,35 @@
 
     def wanted(self, state: dict) -> dict | None:
         """The group that should be, one change away from the one of a state; None if that is right."""
-        members = self.st.members()
+        members = self.store.members()
         voters = state["voters"]
         spares = {
             sid: member["addr"]
             for sid, member in active(members).items()
-            if sid not in voters and self.st.membership.stays(sid) and self.st.membership.takes(sid)
+            if sid not in voters and self.store.membership.stays(sid) and self.store.membership.takes(sid)
         }
         leaving = {sid for sid in voters if self._leaves(sid, members)}
         silent = {sid: self._silent_s(sid, members) for sid in voters}
         zones = {sid: self._place(member) for sid, member in members.items()}
-        return wanted_group(Sight(voters, spares, silent, leaving, zones), self.size, self.patience, self.st.quiet_s)
+        return wanted_group(Sight(voters, spares, silent, leaving, zones), self.size, self.patience, self.store.quiet_s)
 
     def _place(self, member: dict) -> str:
         """What fails together: a region where the loss of regions is borne, else a zone."""
         zone = member["zone"]
-        return self.st.boot.zones.get(zone, zone) if self.st.boot.tolerate_regions else zone
+        return self.store.settings.zones.get(zone, zone) if self.store.settings.tolerate_regions else zone
 
     def _leaves(self, sid: str, members: dict) -> bool:
-        return sid in members and (members[sid]["state"] != "active" or self.st.membership.departing(sid))
+        return sid in members and (members[sid]["state"] != "active" or self.store.membership.departing(sid))
 
     def _silent_s(self, sid: str, members: dict) -> float:
-        now = self.st.clock.now()
+        now = self.store.clock.now()
         if sid not in members:
             return GONE_S
-        if self.st.membership.takes(sid):
+        if self.store.membership.takes(sid):
             self._refusing_since.pop(sid, None)
         else:
             self._refusing_since.setdefault(sid, now)
         refusing = now - self._refusing_since.get(sid, now)
-        if sid == self.st.id:
+        if sid == self.store.id:
             return refusing
-        return max(refusing, min(self.st.membership.cards.silent(sid, now), now - self.started))
+        return max(refusing, min(self.store.membership.cards.silent(sid, now), now - self.started))
--- a/archhatch/singleton_roles/lease.py
+++ b/archhatch/singleton_roles/lease.py
@@ -37,14 +37,14 @@
 
     Only the owner asks for it: it sees by itself when the lease has lapsed, so that nobody has to ask in vain.
 
-    >>> # lease = StandingLease(store, "accounting"); crew.keep("lease", lease.run); lease.may_act()
+    >>> # lease = StandingLease(store, "accounting"); task_group.keep("lease", lease.run); lease.may_act()
     """
 
     def __init__(self, store, namespace: str):
-        self.st, self.namespace = store, namespace
-        boot = store.boot
-        self.lease_s = max(SHORTEST_LEASE_S, boot.secs("LeaseMs"))
-        self.rest_s = boot.secs("LeaseMs", REST)
+        self.store, self.namespace = store, namespace
+        settings = store.settings
+        self.lease_s = max(SHORTEST_LEASE_S, settings.seconds("LeaseMs"))
+        self.rest_s = settings.seconds("LeaseMs", REST)
         self.tenancy: Tenancy | None = None
         self._until = float("-inf")
 
@@ -52,7 +52,7 @@
 
     def may_act(self) -> bool:
         """Whether this process holds the lease now; to be asked at the moment of each write to the outside."""
-        return self.tenancy is not None and self.st.clock.now() < self._until - self.lease_s * MARGIN
+        return self.tenancy is not None and self.store.clock.now() < self._until - self.lease_s * MARGIN
 
     async def call(self, name: str, key: str, **args) -> dict | None:
         """Run a command under the lease's fence; RoleCallError unless it was carried out."""
@@ -70,18 +70,18 @@
         """Take the lease when it is free and this store is the one to ask, renew it while it is held, for good."""
         while True:
             await self.look()
-            await asyncio.sleep(self.st.beat_s * LOOK)
+            await asyncio.sleep(self.store.heartbeat_interval_s * LOOK)
 
     async def look(self) -> None:
         """One look: ask, renew, give back or wait."""
-        st, now = self.st, self.st.clock.now()
+        store, now = self.store, self.store.clock.now()
         if self.tenancy is not None and now >= self._until:
             self._lost("lapsed")
         if self.tenancy is None:
-            if not st.leaving and st.ready and st.disk.takes and self._is_free():
+            if not store.leaving and store.ready and store.disk.takes and self._is_free():
                 await self._request()
             return
-        if st.leaving:
+        if store.leaving:
             await self.give_back()
         elif now >= self._until - self.lease_s * (1.0 - RENEW_FROM):
             await self._renew()
@@ -89,29 +89,29 @@
     def _is_free(self) -> bool:
         """Whether a request may be granted: this store owns the register, and nobody holds the lease, as far as it
         knows."""
-        ledger = self.st.ledger
-        if ledger.owner(self.namespace) != self.st.id or self.namespace not in ledger.known:
+        ledger = self.store.ledger
+        if ledger.owner(self.namespace) != self.store.id or self.namespace not in ledger.known:
             return False
         duty = ledger.duties(self.namespace).get(self.namespace)
-        if duty is None or duty["holder"] is None or duty["holder"][0] == self.st.boot.node:
+        if duty is None or duty["holder"] is None or duty["holder"][0] == self.store.settings.node:
             return True
-        return ledger.watch.seen_s(self.namespace, self.st.clock.now()) >= duty["lease_s"]
+        return ledger.watch.seen_s(self.namespace, self.store.clock.now()) >= duty["lease_s"]
 
     async def _request(self) -> None:
-        asked = self.st.clock.now()
+        asked = self.store.clock.now()
         code, doc = await self._run("duty.request", {"key": self.namespace, "lease_s": self.lease_s})
-        self.st.ctr.add(f"duty.request.{code}")
+        self.store.counters.add(f"duty.request.{code}")
         if code != DONE:
             return
         self.tenancy = Tenancy(doc["fence"], PriorState(doc["prior"]))
         self._until = asked + self.lease_s
-        self.st.log.info("duty {}: held under fence {}", self.namespace, doc["fence"])
-        self.st.board.touch("duty")
+        self.store.log.info("duty {}: held under fence {}", self.namespace, doc["fence"])
+        self.store.state_board.touch("duty")
 
     async def _renew(self) -> None:
-        asked = self.st.clock.now()
+        asked = self.store.clock.now()
         code, _ = await self._run("duty.renew", {"key": self.namespace, "fence": self.tenancy.fence})
-        self.st.ctr.add(f"duty.renew.{code}")
+        self.store.counters.add(f"duty.renew.{code}")
         if code == DONE:
             self._until = max(self._until, asked + self.lease_s)
         elif code in (2302, 2307):
@@ -123,23 +123,23 @@
         if tenancy is not None:
             args = {"key": self.namespace, "fence": tenancy.fence, "rest_s": self.rest_s}
             code, _ = await self._run("duty.release", args)
-            self.st.ctr.add(f"duty.release.{code}")
+            self.store.counters.add(f"duty.release.{code}")
 
     def _lost(self, why: str) -> None:
-        self.st.log.info("duty {}: fence {} is over, {}", self.namespace, self.tenancy.fence, why)
-        self.st.ctr.add("duty.lost")
+        self.store.log.info("duty {}: fence {} is over, {}", self.namespace, self.tenancy.fence, why)
+        self.store.counters.add("duty.lost")
         self.tenancy = None
 
     async def _run(self, name: str, args: dict) -> tuple[int, object]:
-        identity = {"node": self.st.boot.node, "life": self.st.life}
+        identity = {"node": self.store.settings.node, "life": self.store.incarnation}
         try:
-            return await self.st.ledger.run(name, {**args, **identity})
+            return await self.store.ledger.run(name, {**args, **identity})
         except CallError:
             return 3003, None
 
     def holder_hint(self) -> str | None:
         """The name of the node that held the lease in the newest state seen here."""
-        duty = self.st.ledger.duties(self.namespace).get(self.namespace)
+        duty = self.store.ledger.duties(self.namespace).get(self.namespace)
         if duty is None or duty["state"] != RoleState.RUNNING.value:
             return None
         return duty["holder"][0]
--- a/archhatch/singleton_roles/record.py
+++ b/archhatch/singleton_roles/record.py
@@ -35,7 +35,7 @@
     """One life of a node's process."""
 
     node: str  # the node's name
-    life: str  # drawn at random when the process starts
+    incarnation: str  # drawn at random when the process starts
 
     def same_machine(self, other: LeaseHolder | None) -> bool:
         """Whether both are processes of one machine; the earlier has ended when the later starts."""
@@ -89,6 +89,6 @@
         """
         doc = asdict(self)
         doc["state"], doc["prior"] = self.state.value, self.prior.value
-        doc["holder"] = [self.holder.node, self.holder.life] if self.holder else None
+        doc["holder"] = [self.holder.node, self.holder.incarnation] if self.holder else None
         doc["audit"] = [[entry.event, entry.fence, entry.node] for entry in self.audit]
         return doc
--- a/archhatch/singleton_roles/register_host.py
+++ b/archhatch/singleton_roles/register_host.py
@@ -37,20 +37,20 @@
     """
 
     def __init__(self, store):
-        self.st = store
-        boot = store.boot
-        self.book = WriteAheadLog(
-            boot.data_dir or "/tmp/archhatch",
+        self.store = store
+        settings = store.settings
+        self.wal = WriteAheadLog(
+            settings.data_dir or "/tmp/archhatch",
             "ledger",
             store.log,
             clock=store.clock,
-            counters=store.ctr,
-            limit_bytes=boot.disk_mb * 1_000_000,
+            counters=store.counters,
+            limit_bytes=settings.disk_mb * 1_000_000,
         )
-        self.acceptors = {name: Acceptor(name, self.book, store.ctr) for name in NAMESPACES}
+        self.acceptors = {name: Acceptor(name, self.wal, store.counters) for name in NAMESPACES}
         self.known: dict[str, dict] = {}  # namespace -> the newest state that this store knows to be chosen
         self.proposers: dict[str, Proposer] = {}
-        duties = boot.cloud.duties if boot.cloud is not None else ()
+        duties = settings.platform_api.duties if settings.platform_api is not None else ()
         self.needed = [name for name, duty in NAMESPACES.items() if duty in duties]
         self.keeper = GroupKeeper(store)
         self.watch = LeaseWatch()
@@ -60,28 +60,28 @@
 
     def load(self) -> None:
         """Take up what the log holds, and begin to take appends."""
-        for raw in self.book.load():
+        for raw in self.wal.load():
             record = orjson.loads(raw)
             if record[PART] in self.acceptors:
                 self.acceptors[record[PART]].adopt(record)
-        self.book.snapshot = lambda: [acceptor.record() for acceptor in self.acceptors.values()]
-        self.book.start()
+        self.wal.snapshot = lambda: [acceptor.record() for acceptor in self.acceptors.values()]
+        self.wal.start()
         for name in NAMESPACES:
             self.proposers[name] = Proposer(
                 name,
-                self.st.id,
+                self.store.id,
                 commands,
                 self._ask,
                 lambda name=name: self.base(name),
                 self._learn,
-                self.st.ctr,
-                secs=self.st.boot.secs("ContactMs", ROUND),
+                self.store.counters,
+                timeout_s=self.store.settings.seconds("ContactMs", ROUND),
                 least=lambda name=name: self._least(name),
             )
 
     async def close(self) -> None:
         """End; what is acknowledged stays on the disk."""
-        await self.book.close()
+        await self.wal.close()
 
     def register(self, handlers) -> None:
         """Answer the calls of other stores and of control nodes."""
@@ -95,7 +95,7 @@
             acceptor = self.acceptors[doc["part"]]
             args = (doc["ballot"], doc["state"]) if name == "accept" else (doc["ballot"],)
             try:
-                return {"me": self.st.id, **await self.st.disk.watch(getattr(acceptor, name)(*args))}
+                return {"me": self.store.id, **await self.store.disk.watch(getattr(acceptor, name)(*args))}
             except LogError:
                 raise Refusal(DISK_REFUSES) from None
 
@@ -106,12 +106,12 @@
             code, out = await self.run(doc["name"], doc["args"])
         else:
             code, out = await self._run_here(doc["name"], doc["args"])
-        return {"code": code, "doc": out, "me": self.st.id}
+        return {"code": code, "doc": out, "me": self.store.id}
 
     # -- what is known
 
     def _published(self, namespace: str) -> dict | None:
-        return (self.st.news.parts.get("plan") or {}).get("ledger", {}).get(namespace)
+        return (self.store.config_watcher.shards.get("plan") or {}).get("ledger", {}).get(namespace)
 
     def _least(self, namespace: str) -> int:
         published = self._published(namespace)
@@ -139,26 +139,26 @@
         base = self.base(namespace)
         if base is None:
             return []
-        present = self.st.members()
-        fit = [sid for sid in base["voters"] if sid in present and self.st.membership.stays(sid)]
-        able = [sid for sid in fit if self.st.membership.takes(sid)]
+        present = self.store.members()
+        fit = [sid for sid in base["voters"] if sid in present and self.store.membership.stays(sid)]
+        able = [sid for sid in fit if self.store.membership.takes(sid)]
         return rank(namespace, able or fit)
 
     def votes_anywhere(self) -> bool:
         """Whether this store is a voter of any namespace's newest group."""
         bases = [base for base in map(self.base, NAMESPACES) if base is not None]
-        return any(self.st.id in members(base) for base in bases)
+        return any(self.store.id in members(base) for base in bases)
 
     def _learn(self, namespace: str, state: dict) -> None:
         known = self.known.get(namespace)
         if known is not None and state["stamp"] <= known["stamp"]:
             return
         self.known[namespace] = state
-        now = self.st.clock.now()
+        now = self.store.clock.now()
         for key, duty in state["val"].get("duties", {}).items():
             self.watch.note(key, duty["fence"], duty["renewals"], now)
         self.watch.keep_only({key for name in self.known for key in self.duties(name)})
-        self.st.board.touch("ledger")
+        self.store.state_board.touch("ledger")
 
     # -- commands
 
@@ -169,39 +169,41 @@
         if namespace not in self.proposers:
             return 2304, namespace
         for owner in self._owners(namespace)[:2]:
-            if owner == self.st.id:
+            if owner == self.store.id:
                 return await self._run_here(name, args)
             out = await self._call(owner, "ledger.run", {"name": name, "args": args})
             if out is not None and out["me"] == owner:
                 return out["code"], out["doc"]
-            self.st.ctr.add("ledger.owner_silent")
+            self.store.counters.add("ledger.owner_silent")
         return UNREACHED, None
 
     async def _run_here(self, name: str, args: dict) -> tuple[int, object]:
         namespace = split_key(args["key"])[0]
         if name == "duty.request":
-            args = {**args, **self.watch.args(args["key"], self.st.clock.now())}
+            args = {**args, **self.watch.args(args["key"], self.store.clock.now())}
         try:
-            return await self.proposers[namespace].do(name, args, self.st.boot.secs("ContactMs", WITHIN))
+            return await self.proposers[namespace].do(name, args, self.store.settings.seconds("ContactMs", WITHIN))
         except UnclearResultError:
             return UNREACHED, None
 
-    async def _ask(self, addr: str, verb: str, doc: dict) -> dict | None:
+    async def _ask(self, address: str, verb: str, doc: dict) -> dict | None:
         """A proposer's question to a voter, this store among them."""
-        if addr == self.st.addr_of({"ip": self.st.boot.ip}):
+        if address == self.store.addr_of({"ip": self.store.settings.ip}):
             try:
-                return await self.st.verbs.table[verb](doc, b"")
+                return await self.store.verbs.table[verb](doc, b"")
             except Refusal:
                 return None
-        return await self._call_addr(addr, verb, doc)
+        return await self._call_addr(address, verb, doc)
 
     async def _call(self, sid: str, verb: str, doc: dict) -> dict | None:
-        member = self.st.members().get(sid)
+        member = self.store.members().get(sid)
         return None if member is None else await self._call_addr(member["addr"], verb, doc)
 
-    async def _call_addr(self, addr: str, verb: str, doc: dict) -> dict | None:
+    async def _call_addr(self, address: str, verb: str, doc: dict) -> dict | None:
         try:
-            code, out, _ = await self.st.lines.to(addr).call(verb, doc, secs=self.st.boot.secs("ContactMs", WITHIN))
+            code, out, _ = await self.store.connections.to(address).call(
+                verb, doc, timeout_s=self.store.settings.seconds("ContactMs", WITHIN)
+            )
         except CallError:
             return None
         return out if code == 1000 else None
@@ -210,10 +212,10 @@
 
     async def care(self) -> None:
         """Found, settle and mend the groups that are this store's to look after, for good."""
-        st = self.st
+        store = self.store
         while True:
-            await asyncio.sleep(st.beat_s * random.uniform(0.8, 1.2))
-            if not st.ready or st.plan is None:
+            await asyncio.sleep(store.heartbeat_interval_s * random.uniform(0.8, 1.2))
+            if not store.ready or store.plan is None:
                 continue
             for namespace in self.needed:
                 await self._care_for(namespace)
@@ -223,28 +225,30 @@
         if self.base(namespace) is None:
             await self._found(namespace)
             return
-        if self.owner(namespace) == self.st.id:
+        if self.owner(namespace) == self.store.id:
             await self._tend(namespace)
 
     async def _found(self, namespace: str) -> None:
         """Have the first group written down, if this store is the one to do it."""
         voters = self.keeper.first(namespace)
-        up = [sid for sid in self.st.members() if self.st.membership.stays(sid)]
-        if voters is None or rank(namespace, up)[:1] != [self.st.id]:
+        up = [sid for sid in self.store.members() if self.store.membership.stays(sid)]
+        if voters is None or rank(namespace, up)[:1] != [self.store.id]:
             return
-        if self.st.clock.now() - self.keeper.started < self.st.beat_s * SETTLED_BEATS:
+        if self.store.clock.now() - self.keeper.started < self.store.heartbeat_interval_s * SETTLED_BEATS:
             return
-        code, _ = await self.st.news.do("plan", "ledger.group", {"key": namespace, "voters": voters, "stamp": 0})
-        self.st.ctr.add(f"ledger.found.{code}")
+        code, _ = await self.store.config_watcher.do(
+            "plan", "ledger.group", {"key": namespace, "voters": voters, "stamp": 0}
+        )
+        self.store.counters.add(f"ledger.found.{code}")
 
     async def _tend(self, namespace: str) -> None:
         """Settle what is not known to be chosen, and bring the group to what it should be."""
         proposer, base = self.proposers[namespace], self.base(namespace)
-        settled = self.st.clock.now() - self.keeper.started >= self.st.beat_s * SETTLED_BEATS
+        settled = self.store.clock.now() - self.keeper.started >= self.store.heartbeat_interval_s * SETTLED_BEATS
         want = self.keeper.wanted(base) if settled and namespace in self.known else None
         if want or namespace not in self.known or base["prev"] or proposer.lead is None or not proposer.settled:
             if want:
-                self.st.log.info("ledger {}: the group becomes {}", namespace, sorted(want))
+                self.store.log.info("ledger {}: the group becomes {}", namespace, sorted(want))
             await proposer.regroup(want or {})
             if proposer.settled and proposer.state is not None:
                 self._learn(namespace, proposer.state)
@@ -255,15 +259,15 @@
         if known is None or known["prev"] or published is None or known["voters"] == published["voters"]:
             return
         args = {"key": namespace, "voters": known["voters"], "stamp": known["stamp"]}
-        code, _ = await self.st.news.do("plan", "ledger.group", args)
-        self.st.ctr.add(f"ledger.group.{code}")
+        code, _ = await self.store.config_watcher.do("plan", "ledger.group", args)
+        self.store.counters.add(f"ledger.group.{code}")
 
     async def _rewrite_if_long(self) -> None:
-        if self.book.size <= REWRITE_BYTES or self.book.size <= self._rewritten * REWRITE_GROWTH:
+        if self.wal.size <= REWRITE_BYTES or self.wal.size <= self._rewritten * REWRITE_GROWTH:
             return
         try:
-            await self.book.rewrite()
+            await self.wal.rewrite()
         except LogError:
-            self.st.ctr.add("ledger.rewrite_failed")  # the log before it still holds everything
+            self.store.counters.add("ledger.rewrite_failed")  # the log before it still holds everything
             return
-        self._rewritten = self.book.size
+        self._rewritten = self.wal.size
--- a/archhatch/store/disk.py
+++ b/archhatch/store/disk.py
@@ -16,11 +16,11 @@
 class DiskState:
     """Follows the writes to this store's log.
 
-    >>> # disk = DiskState(clock, contact_s=3.0); await disk.watch(shelf.append(records)); disk.takes
+    >>> # disk = DiskState(clock, contact_s=3.0); await disk.watch(record_store.append(records)); disk.takes
     """
 
     def __init__(self, clock, contact_s: float, counters=None):
-        self.clock, self.ctr = clock, counters
+        self.clock, self.counters = clock, counters
         self.stall_s = contact_s * STALL
         self.takes = True
         self._first_rest_s, self._longest_rest_s = contact_s * REST, contact_s * LONGEST_REST
@@ -58,8 +58,8 @@
         if self.takes:
             again = now - self._recovered_at < self._rest_s * 2
             self._rest_s = min(self._longest_rest_s, self._rest_s * 2) if again else self._first_rest_s
-            if self.ctr is not None:
-                self.ctr.add(counter)
+            if self.counters is not None:
+                self.counters.add(counter)
         self.takes, self._failed_at = False, now
 
     def may_probe(self) -> bool:
@@ -69,5 +69,5 @@
     def recovered(self) -> None:
         """A probe was synced: the disk takes records again."""
         self.takes, self._recovered_at = True, self.clock.now()
-        if self.ctr is not None:
-            self.ctr.add("disk.recovered")
+        if self.counters is not None:
+            self.counters.add("disk.recovered")
--- a/archhatch/store/evacuation.py
+++ b/archhatch/store/evacuation.py
@@ -13,11 +13,12 @@
 class EvacuationSupport:
     """What the evacuations of the feed ask of the runs that this store leads.
 
-    >>> # support = EvacuationSupport(store); crew.keep("evacuation", support.run); support.leads_elsewhere("service")
+    >>> # support = EvacuationSupport(store); task_group.keep("evacuation", support.run)
+    >>> # support.leads_elsewhere("service")
     """
 
     def __init__(self, store):
-        self.st = store
+        self.store = store
         self._reported: dict[tuple, tuple] = {}  # (evacuation, run) -> what was last reported and acknowledged
 
     # -- what is asked
@@ -28,14 +29,14 @@
 
     def _moves(self, run: str) -> list:
         """For each lane of lots that leads to a run, the evacuation that moves it."""
-        st = self.st
-        if st.plan is None or not st.placement.moves.all:
+        store = self.store
+        if store.plan is None or not store.placement.moves.all:
             return []
         out = []
-        for lane in st.plan.lanes():
-            if lane.kind in ROLLOUTS and any(service == run for service, _ in lane.split):
-                rule = st.placement.rule(lane)
-                out.append(None if rule is None else st.placement.moves.of(rule.name))
+        for route in store.plan.routes():
+            if route.kind in ROLLOUTS and any(service == run for service, _ in route.split):
+                rule = store.placement.rule(route)
+                out.append(None if rule is None else store.placement.moves.of(rule.name))
         return out
 
     def leading_region(self, run: str) -> str | None:
@@ -50,10 +51,10 @@
     def leads_elsewhere(self, run: str) -> bool:
         """Whether another store should lead a run because of where this one stands."""
         region = self.leading_region(run)
-        if region is None or self._region(self.st.boot.zone) == region:
+        if region is None or self._region(self.store.settings.zone) == region:
             return False
-        fit = self.st.membership.fit_to_lead()
-        return any(sid in self._stores_in(region) for sid in fit if sid != self.st.id)
+        fit = self.store.membership.fit_to_lead()
+        return any(sid in self._stores_in(region) for sid in fit if sid != self.store.id)
 
     def candidates(self, run: str, names: list) -> list:
         """These stores, those that stand where a run should be led before the others."""
@@ -71,107 +72,109 @@
         return frozenset(self._stores_in(move.copies_in))
 
     def _region(self, zone: str) -> str | None:
-        return self.st.placement.region_of.get(zone)
+        return self.store.placement.region_of.get(zone)
 
     def _stores_in(self, region: str) -> dict:
-        return {sid: m for sid, m in active(self.st.members()).items() if self._region(m["zone"]) == region}
+        return {sid: m for sid, m in active(self.store.members()).items() if self._region(m["zone"]) == region}
 
     # -- rounds
 
     async def run(self) -> None:
         """One round after the other while there is an evacuation."""
-        st, turn = self.st, 0
+        store, turn = self.store, 0
         while True:
-            if not st.placement.moves.all:
+            if not store.placement.moves.all:
                 self._reported.clear()
-                turn = await st.board.news("parts", turn)
+                turn = await store.state_board.wait_for_change("parts", turn)
                 continue
             await self.round()
-            turn = await st.board.news("parts", turn, st.beat_s)
+            turn = await store.state_board.wait_for_change("parts", turn, store.heartbeat_interval_s)
 
     async def round(self) -> None:
         """Bring copies where they are needed, and report, for each run that this store leads."""
-        for run, reign in list(self.st.reigns.items()):
+        for run, leadership in list(self.store.leaderships.items()):
             move = self.move_of(run)
-            if move is None or move.copies_in is None or not reign.fresh():
+            if move is None or move.copies_in is None or not leadership.fresh():
                 continue
-            copied = await self._copy(reign, self._stores_in(move.copies_in)) and not reign.pending
-            await self._report(move, reign, copied, self._drained(run, move))
+            copied = await self._copy(leadership, self._stores_in(move.copies_in)) and not leadership.pending
+            await self._report(move, leadership, copied, self._drained(run, move))
 
-    async def _copy(self, reign, goal: dict) -> bool:
+    async def _copy(self, leadership, goal: dict) -> bool:
         """Copy what the goal's stores have too little of; whether they have enough of every open lot now."""
-        st = self.st
-        if not st.quorum.enough(goal, goal):
+        store = self.store
+        if not store.quorum.enough(goal, goal):
             return False
-        elsewhere = [sid for sid in st.members() if sid not in goal]
+        elsewhere = [sid for sid in store.members() if sid not in goal]
         lacking = [
-            (lot, rec)
-            for lot in list(reign.lots.values())
-            if not lot.ended
-            for rec in lot.recs
-            if not st.quorum.enough(rec.held, goal)
+            (batch_job, record)
+            for batch_job in list(leadership.batch_jobs.values())
+            if not batch_job.ended
+            for record in batch_job.records
+            if not store.quorum.enough(record.held, goal)
         ]
-        for part in _parts(lacking):
+        for shard in _parts(lacking):
             sends = [
-                st.copier.send(sid, reign.run, reign.term, [rec])
-                for lot, rec in part
-                for sid in st.copier.targets(lot.lid, rec.held & goal.keys(), avoid=elsewhere, silent=False)
+                store.replicator.send(sid, leadership.run, leadership.term, [record])
+                for batch_job, record in shard
+                for sid in store.replicator.targets(
+                    batch_job.job_id, record.held & goal.keys(), avoid=elsewhere, silent=False
+                )
             ]
-            st.ctr.add("evacuation.copies", len(sends))
+            store.counters.add("evacuation.copies", len(sends))
             for send in sends:
                 if await send is False:
-                    reign.over()
+                    leadership.over()
                     return False
-        return all(st.quorum.enough(rec.held, goal) for _, rec in lacking)
+        return all(store.quorum.enough(record.held, goal) for _, record in lacking)
 
     def _drained(self, run: str, move: Move) -> bool:
         """Whether nothing of the run is at work, and it is not led, where it should not be any more."""
-        st = self.st
+        store = self.store
         if not move.settling or self.leads_elsewhere(run):
             return False
-        led = st.leader.runs.get(run)
+        led = store.leader.runs.get(run)
         if led is None:
             return False
         locked = [entry for window in led.windows.values() for entry in window.locked.values()]
         return not any(
             entry.engine is not None
             and self._region(entry.engine.zone) == move.left
-            and self._is_moved(entry.lot, move)
+            and self._is_moved(entry.batch_job, move)
             for entry in locked
         )
 
-    def _is_moved(self, lot: BatchJob, move: Move) -> bool:
-        lane = self.st.plan.lane(lot.host, lot.path.split("?", 1)[0])
-        rule = None if lane is None else self.st.placement.rule(lane)
+    def _is_moved(self, batch_job: BatchJob, move: Move) -> bool:
+        route = self.store.plan.route(batch_job.host, batch_job.path.split("?", 1)[0])
+        rule = None if route is None else self.store.placement.rule(route)
         return rule is not None and rule.name in move.rules
 
-    async def _report(self, move: Move, reign, copied: bool, drained: bool) -> None:
-        row = (reign.term, move.state, move.placed, copied, drained)
-        if self._reported.get((move.name, reign.run)) == row:
+    async def _report(self, move: Move, leadership, copied: bool, drained: bool) -> None:
+        row = (leadership.term, move.state, move.placed, copied, drained)
+        if self._reported.get((move.name, leadership.run)) == row:
             return
         args = {
             "id": move.name,
-            "run": reign.run,
-            "run_term": reign.term,
+            "run": leadership.run,
+            "run_term": leadership.term,
             "state": move.state,
             "placed": move.placed,
             "copied": copied,
             "drained": drained,
         }
-        code, _ = await self.st.news.do("plan", "evacuation.report", args)
-        self.st.ctr.add(f"evacuation.report.{code}")
+        code, _ = await self.store.config_watcher.do("plan", "evacuation.report", args)
+        self.store.counters.add(f"evacuation.report.{code}")
         if code == 1000:
-            self._reported[move.name, reign.run] = row
+            self._reported[move.name, leadership.run] = row
 
 
 def _parts(rows: list):
     """Records with their lots in parts of a bounded number of bytes: new records wait behind what is under way."""
-    part, size = [], 0
-    for lot, rec in rows:
-        part.append((lot, rec))
-        size += len(rec.body)
+    shard, size = [], 0
+    for batch_job, record in rows:
+        shard.append((batch_job, record))
+        size += len(record.body)
         if size > BURST:
-            yield part
-            part, size = [], 0
-    if part:
-        yield part
+            yield shard
+            shard, size = [], 0
+    if shard:
+        yield shard
--- a/archhatch/store/handlers.py
+++ b/archhatch/store/handlers.py
@@ -16,7 +16,7 @@
     """
 
     def __init__(self, store):
-        self.st = store
+        self.store = store
 
     def register(self, handlers: Handlers) -> None:
         """Put all verbs into a table of handlers."""
@@ -32,16 +32,16 @@
             "lot.read": self._read,
             "lot.item": self._item,
             "lot.end": self._end,
-            "request.send": self.st.proxy.send,
-            "usage.tell": self.st.usage.tell,
+            "request.send": self.store.proxy.send,
+            "usage.tell": self.store.usage.tell,
         }
         for verb, handler in verbs.items():
             handlers.on(verb)(self._addressed(handler))
 
     def _addressed(self, handler):
         async def checked(doc, body):
-            if doc["to"] != self.st.id:
-                self.st.ctr.add("call.other_life")
+            if doc["to"] != self.store.id:
+                self.store.counters.add("call.other_life")
                 raise Refusal(2008)
             try:
                 return await handler(doc, body)
@@ -53,107 +53,109 @@
     # -- between stores
 
     async def _ping(self, doc, body):
-        self.st.membership.cards.hear(doc["card"], self.st.clock.now())
-        return self.st.membership.word().doc()
+        self.store.membership.cards.hear(doc["card"], self.store.clock.now())
+        return self.store.membership.word().doc()
 
     async def _prepare(self, doc, body):
-        st = self.st
-        out = await st.disk.watch(st.shelf.prepare(doc["run"], doc["term"]))
-        reign = st.reigns.get(doc["run"])
-        if out["ok"] and reign is not None and reign.term < doc["term"]:
-            reign.over()
+        store = self.store
+        out = await store.disk.watch(store.record_store.prepare(doc["run"], doc["term"]))
+        leadership = store.leaderships.get(doc["run"])
+        if out["ok"] and leadership is not None and leadership.term < doc["term"]:
+            leadership.over()
         return out
 
     async def _append(self, doc, body):
-        if not self.st.ready:
+        if not self.store.ready:
             raise Refusal(3004)
-        return await self.st.disk.watch(self.st.shelf.append(unpack_many(body)))
+        return await self.store.disk.watch(self.store.record_store.append(unpack_many(body)))
 
     async def _fetch(self, doc, body):
-        return None, pack_many(self.st.shelf.fetch(doc["lot"], doc["poss"], doc["want_lot"]))
+        return None, pack_many(self.store.record_store.fetch(doc["lot"], doc["poss"], doc["want_lot"]))
 
     async def _lacks(self, doc, body):
-        return lacks(self.st, doc["lot"])
+        return lacks(self.store, doc["lot"])
 
     # -- share groups
 
     async def _share_fetch(self, doc, body):
-        return await self.st.leader.fetch(doc)
+        return await self.store.leader.fetch(doc)
 
     async def _share_commit(self, doc, body):
-        return await self.st.leader.commit(doc, body)
+        return await self.store.leader.commit(doc, body)
 
     # -- batches of work, for edges
 
-    def _reign_of(self, lid: str) -> LeadershipTerm:
-        reigns = self.st.reigns.values()
-        if any(lid in reign.pending for reign in reigns if reign.state == "holding"):
+    def _reign_of(self, job_id: str) -> LeadershipTerm:
+        leaderships = self.store.leaderships.values()
+        if any(job_id in leadership.pending for leadership in leaderships if leadership.state == "holding"):
             raise Refusal(3004)
-        for reign in reigns:
-            if lid in reign.lots and reign.state == "holding":
-                return reign
-        if any(reign.state == "reading" for reign in reigns):
+        for leadership in leaderships:
+            if job_id in leadership.batch_jobs and leadership.state == "holding":
+                return leadership
+        if any(leadership.state == "reading" for leadership in leaderships):
             raise Refusal(3004)
         raise Refusal(2007)
 
-    def _signed(self, reign: LeadershipTerm) -> dict:
+    def _signed(self, leadership: LeadershipTerm) -> dict:
         """What an answer says of its giver, so that another's answer is not taken for the holder's."""
-        return {"run": reign.run, "me": self.st.id, "term": reign.term}
+        return {"run": leadership.run, "me": self.store.id, "term": leadership.term}
 
     async def _put(self, doc, body):
-        reign = self.st.reigns.get(doc["run"])
-        if reign is None or reign.state != "holding" or self.st.leaving or reign.term < doc["term"]:
-            raise Refusal(3004 if may_be_taken(self.st, doc["run"], doc["lot"]) else 3005)
-        if doc["lot"] in reign.pending:
+        leadership = self.store.leaderships.get(doc["run"])
+        if leadership is None or leadership.state != "holding" or self.store.leaving or leadership.term < doc["term"]:
+            raise Refusal(3004 if may_be_taken(self.store, doc["run"], doc["lot"]) else 3005)
+        if doc["lot"] in leadership.pending:
             raise Refusal(3004)
-        if doc["lot"] not in reign.lots and not self.st.membership.admits(doc["lot"], len(body)):
-            raise Refusal(3004 if may_be_taken(self.st, doc["run"], doc["lot"]) else 3008)
+        if doc["lot"] not in leadership.batch_jobs and not self.store.membership.admits(doc["lot"], len(body)):
+            raise Refusal(3004 if may_be_taken(self.store, doc["run"], doc["lot"]) else 3008)
         try:
-            await reign.put(doc, body)
+            await leadership.put(doc, body)
         except DeposedError:
-            reign.over()
+            leadership.over()
             raise Refusal(3004) from None
-        return self._signed(reign)
+        return self._signed(leadership)
 
     async def _read(self, doc, body):
-        reign = self._reign_of(doc["lot"])
-        page = await reign.read(doc["lot"], doc["after"], doc["hold"])
+        leadership = self._reign_of(doc["lot"])
+        page = await leadership.read(doc["lot"], doc["after"], doc["hold"])
         if page is None:
             raise Refusal(3004)
-        return self._signed(reign), page
+        return self._signed(leadership), page
 
     async def _item(self, doc, body):
-        reign = self._reign_of(doc["lot"])
-        if not reign.fresh():
+        leadership = self._reign_of(doc["lot"])
+        if not leadership.fresh():
             raise Refusal(3004)
-        raw = reign.item(doc["lot"], doc["item"])
+        raw = leadership.item(doc["lot"], doc["item"])
         if raw is None:
             raise Refusal(2007, "item")
-        return self._signed(reign), raw
+        return self._signed(leadership), raw
 
     async def _end(self, doc, body):
-        reign = self._reign_of(doc["lot"])
+        leadership = self._reign_of(doc["lot"])
         try:
-            await reign.end(doc["lot"])
+            await leadership.end(doc["lot"])
         except DeposedError:
-            reign.over()
+            leadership.over()
             raise Refusal(3004) from None
-        return self._signed(reign)
+        return self._signed(leadership)
 
 
-def lacks(store, lid: str) -> dict:
+def lacks(store, job_id: str) -> dict:
     """Whether a lot is not here, and who else may have it as far as this store knows."""
     return {
         "me": store.id,
-        "lacks": store.ready and lid not in store.shelf.lots,
+        "lacks": store.ready and job_id not in store.record_store.batch_jobs,
         "stores": {sid: {"zone": member["zone"]} for sid, member in store.members().items()},
     }
 
 
-def may_be_taken(store, run: str, lid: str) -> bool:
+def may_be_taken(store, run: str, job_id: str) -> bool:
     """Whether an earlier copy of a call that hands in this lot may have been taken, or may still be, as far as this
     store can know: then a refusal must not promise that it was not."""
-    reign = store.reigns.get(run)
-    if lid in store.shelf.lots or any(lid in other.offered or lid in other.lots for other in store.reigns.values()):
+    leadership = store.leaderships.get(run)
+    if job_id in store.record_store.batch_jobs or any(
+        job_id in other.offered or job_id in other.batch_jobs for other in store.leaderships.values()
+    ):
         return True
-    return reign is not None and reign.state == "reading"
+    return leadership is not None and leadership.state == "reading"
--- a/archhatch/store/join.py
+++ b/archhatch/store/join.py
@@ -16,70 +16,74 @@
 class StoreJoin:
     """Follows the news of the registers for this store.
 
-    >>> # joining = StoreJoin(store); crew.keep("parts", joining.run)
+    >>> # joining = StoreJoin(store); task_group.keep("parts", joining.run)
     """
 
     def __init__(self, store):
-        self.st = store
+        self.store = store
 
     async def run(self) -> None:
         """Take up each change of the registers; while this store is no full member, try again at each heartbeat."""
-        st, turn = self.st, 0
+        store, turn = self.store, 0
         while True:
-            register = st.news.parts.get("plan") or {}
+            register = store.config_watcher.shards.get("plan") or {}
             self._fold(register)
-            if st.id in register.get("dropped", {}):
+            if store.id in register.get("dropped", {}):
                 await self._start_over(register)
-            elif not st.ready and st.id in st.members():
+            elif not store.ready and store.id in store.members():
                 await self.join()
-            st.membership.ping_all(only_new=True)
+            store.membership.ping_all(only_new=True)
             for name in ("work", "orders", "members"):
-                st.board.touch(name)
-            turn = await st.board.news("parts", turn, st.beat_s * (CALM if st.ready else 1))
+                store.state_board.touch(name)
+            turn = await store.state_board.wait_for_change(
+                "parts", turn, store.heartbeat_interval_s * (CALM if store.ready else 1)
+            )
 
     def _fold(self, register: dict) -> None:
-        st = self.st
-        if st.placement.fold(register):
-            st.log.info("placement policy: {}", st.placement)
+        store = self.store
+        if store.placement.fold(register):
+            store.log.info("placement policy: {}", store.placement)
         plan = register.get("plan")
-        if plan is not None and (st.plan is None or plan["Revision"] > st.plan.stamp):
-            st.plan = RoutingTable(plan)
-            st.live_services = st.plan.live_services()
+        if plan is not None and (store.plan is None or plan["Revision"] > store.plan.stamp):
+            store.plan = RoutingTable(plan)
+            store.live_services = store.plan.live_services()
 
     async def join(self) -> None:
         """Learn all terms that were granted before this store was a member; only then take records."""
-        st = self.st
-        read_s = st.boot.secs("ContactMs", LEASE_READ)
-        answers = await asyncio.gather(*(st.news.do(part, "tenure.list", {}, secs=read_s) for part in LEASE_REGISTERS))
+        store = self.store
+        read_s = store.settings.seconds("ContactMs", LEASE_READ)
+        answers = await asyncio.gather(
+            *(store.config_watcher.do(shard, "tenure.list", {}, timeout_s=read_s) for shard in LEASE_REGISTERS)
+        )
         if any(code != 1000 for code, _ in answers):
-            st.ctr.add("join.put_off")
+            store.counters.add("join.put_off")
             return
         terms = {run: lease["term"] for _, leases in answers for run, lease in leases.items()}
-        fresh = [(run, term) for run, term in terms.items() if term > st.shelf.promised.get(run, 0)]
+        fresh = [(run, term) for run, term in terms.items() if term > store.record_store.promised.get(run, 0)]
         try:
-            await asyncio.gather(*(st.disk.watch(st.shelf.prepare(run, term)) for run, term in fresh))
+            await asyncio.gather(*(store.disk.watch(store.record_store.prepare(run, term)) for run, term in fresh))
         except LogError:
-            st.ctr.add("join.put_off")
+            store.counters.add("join.put_off")
             return
-        st.ready = True
-        st.log.info("store {} takes records", st.id)
+        store.ready = True
+        store.log.info("store {} takes records", store.id)
 
     async def _start_over(self, register: dict) -> None:
         """This disk's copies were replaced by others while it was away: begin anew under another id, which counts only
         once it stands on the disk."""
-        st = self.st
-        retired = st.boot.node in register.get("retired", {})
-        if st.ready:
-            st.log.warning("store {} was dropped; {}", st.id, "it is retired" if retired else "it starts over")
-        st.ready = False
-        for reign in st.reigns.values():
-            reign.over()
-        if retired or st.leaving:
+        store = self.store
+        retired = store.settings.node in register.get("retired", {})
+        if store.ready:
+            store.log.warning("store {} was dropped; {}", store.id, "it is retired" if retired else "it starts over")
+        store.ready = False
+        for leadership in store.leaderships.values():
+            leadership.over()
+        if retired or store.leaving:
             return  # it ends: a new id would make it a member again
         try:
-            await st.disk.watch(st.shelf.start_over(f"s-{random.getrandbits(64):016x}"))
+            await store.disk.watch(store.record_store.start_over(f"s-{random.getrandbits(64):016x}"))
         except LogError:
-            st.ctr.add("join.put_off")
+            store.counters.add("join.put_off")
             return
-        st.copier.me = st.id
-        st.news.card = st.card()
+        store.replicator.me = store.id
+        store.config_watcher.card = store.card()
--- a/archhatch/store/membership.py
+++ b/archhatch/store/membership.py
@@ -17,11 +17,11 @@
 class Membership:
     """Pings the stores of the membership and keeps their words.
 
-    >>> # membership = Membership(store); crew.keep("pings", membership.run); membership.alive(sid)
+    >>> # membership = Membership(store); task_group.keep("pings", membership.run); membership.alive(sid)
     """
 
     def __init__(self, store):
-        self.st = store
+        self.store = store
         self.cards = PeerSet()
         self.woke = store.clock.now()  # the end of this node's last stand-still, or its start
         self.met: dict[str, float] = {}  # when this node first heard of a store
@@ -34,69 +34,71 @@
 
     def silent(self, sid: str) -> bool:
         """Whether a store has not been heard for so long that it passes for gone."""
-        now = self.st.clock.now()
+        now = self.store.clock.now()
         met = self.met.setdefault(sid, now)  # one just heard of has not had its time to speak
-        return min(self.cards.silent(sid, now), now - max(self.woke, met)) >= self.st.quiet_s
+        return min(self.cards.silent(sid, now), now - max(self.woke, met)) >= self.store.quiet_s
 
     def alive(self, sid: str) -> bool:
         """Whether a store is in touch."""
-        return sid == self.st.id or not self.silent(sid)
+        return sid == self.store.id or not self.silent(sid)
 
     def takes(self, sid: str) -> bool:
         """Whether a store's disk takes records, by its own word."""
-        if sid == self.st.id:
-            return self.st.disk.takes
+        if sid == self.store.id:
+            return self.store.disk.takes
         word = self.words.get(sid)
         return word is None or word.takes
 
-    def admits(self, lid: str, size: int) -> bool:
+    def admits(self, job_id: str, size: int) -> bool:
         """Whether a new lot may be taken: enough stores in touch have the room for its copies."""
-        members = active(self.st.members())
+        members = active(self.store.members())
         roomy = [
             sid
             for sid in members
-            if sid != self.st.id
+            if sid != self.store.id
             and self.stays(sid)
             and self.takes(sid)
             and (sid not in self.words or self.words[sid].roomy)
         ]
-        here = [self.st.id] if self.st.disk.takes and self.st.shelf.admits(lid, size) else []
-        return self.st.quorum.enough(roomy + here, members)
+        here = [self.store.id] if self.store.disk.takes and self.store.record_store.admits(job_id, size) else []
+        return self.store.quorum.enough(roomy + here, members)
 
     def departing(self, sid: str) -> bool:
         """Whether a store said that it is about to end."""
-        if sid == self.st.id:
-            return self.st.leaving
+        if sid == self.store.id:
+            return self.store.leaving
         word = self.words.get(sid)
         return word is not None and word.departing
 
     def stays(self, sid: str) -> bool:
         """Whether copies may count on a store: it is in touch and not about to end."""
-        return self.st.alive(sid) and not self.departing(sid)
+        return self.store.alive(sid) and not self.departing(sid)
 
-    def confirmed(self, run: str, term: int, secs: float) -> bool:
+    def confirmed(self, run: str, term: int, timeout_s: float) -> bool:
         """Whether so many stores, this one among them, said within secs that they know no higher term of a run that no
         other can have gathered its holder's right without one of them."""
-        if self.st.shelf.promised.get(run, 0) > term:
+        if self.store.record_store.promised.get(run, 0) > term:
             return False
-        now = self.st.clock.now()
-        good = {sid for sid, (at, promised) in self.proofs.items() if now - at <= secs and promised.get(run, 0) <= term}
-        return self.st.quorum.enough(good | {self.st.id}, active(self.st.members()))
+        now = self.store.clock.now()
+        good = {
+            sid for sid, (at, promised) in self.proofs.items() if now - at <= timeout_s and promised.get(run, 0) <= term
+        }
+        return self.store.quorum.enough(good | {self.store.id}, active(self.store.members()))
 
     def hears_enough(self) -> bool:
         """Whether this store hears so many that a gather could succeed: the others would not do better."""
-        members = self.st.members()
-        return self.st.quorum.heard([sid for sid in members if self.st.alive(sid)], members)
+        members = self.store.members()
+        return self.store.quorum.heard([sid for sid in members if self.store.alive(sid)], members)
 
     def gatherable(self) -> bool:
         """Whether enough stores are in touch and can write down a promise that a successor's gather could succeed."""
-        members = self.st.members()
-        able = [sid for sid in members if self.st.alive(sid) and self.takes(sid)]
-        return self.st.quorum.heard(able, members)
+        members = self.store.members()
+        able = [sid for sid in members if self.store.alive(sid) and self.takes(sid)]
+        return self.store.quorum.heard(able, members)
 
     def lags(self, names) -> dict:
         """How late the timers of these stores are."""
-        return {sid: self.lag if sid == self.st.id else self._lag(sid) for sid in names}
+        return {sid: self.lag if sid == self.store.id else self._lag(sid) for sid in names}
 
     def _lag(self, sid: str) -> float:
         word = self.words.get(sid)
@@ -104,94 +106,98 @@
 
     def slow(self) -> bool:
         """Whether this node's timers are far later than those of most others that it hears."""
-        others = sorted(self._lag(sid) for sid in self.words if sid in self.st.members() and self.alive(sid))
-        return bool(others) and self.lag > max(SLOW * others[len(others) // 2], self.st.beat_s * SLOW_FLOOR)
+        others = sorted(self._lag(sid) for sid in self.words if sid in self.store.members() and self.alive(sid))
+        return bool(others) and self.lag > max(
+            SLOW * others[len(others) // 2], self.store.heartbeat_interval_s * SLOW_FLOOR
+        )
 
     def fit_to_lead(self) -> list:
         """The active stores in touch whose disks take records, without those that are slow if others are left."""
-        members = active(self.st.members())
+        members = active(self.store.members())
         names = [sid for sid in members if self.stays(sid) and self.takes(sid)]
         lags = self.lags(names)
         row = sorted(lags.values())
-        bound = max(SLOW * row[len(row) // 2], self.st.beat_s * SLOW_FLOOR) if row else 0.0
+        bound = max(SLOW * row[len(row) // 2], self.store.heartbeat_interval_s * SLOW_FLOOR) if row else 0.0
         return [sid for sid in names if lags[sid] <= bound] or names
 
     def life_of(self, sid: str) -> str | None:
         """The life that a store last named."""
-        return self.st.life if sid == self.st.id else self.cards.cards.get(sid, {}).get("life")
+        return self.store.incarnation if sid == self.store.id else self.cards.cards.get(sid, {}).get("life")
 
     def places_wanted(self, service: str) -> float:
         """The places that a service's runs need, by the word of the stores in touch that lead them."""
         words = [word for sid, word in self.words.items() if self.alive(sid)]
-        here = self.st.leader.demand().get(service, 0.0)
+        here = self.store.leader.demand().get(service, 0.0)
         return here + sum(word.demand.get(service, 0.0) for word in words)
 
     # -- heartbeats
 
     def word(self) -> HeartbeatStatus:
         """What others are told at a ping. A store that has not read all terms yet proves nothing about them."""
-        st = self.st
+        store = self.store
         return HeartbeatStatus(
-            st.card(),
-            st.shelf.promised if st.ready else None,
+            store.card(),
+            store.record_store.promised if store.ready else None,
             self.lag,
-            takes=st.disk.takes and st.ready and not st.leaving,
-            roomy=st.shelf.has_room(0),
-            departing=st.leaving,
-            oldest_write_s=st.disk.oldest_write_s(),
-            demand=st.leader.demand() if st.capacity.enabled else {},
-            leads={run: reign.leading() for run, reign in st.reigns.items() if reign.state != "over"},
+            takes=store.disk.takes and store.ready and not store.leaving,
+            roomy=store.record_store.has_room(0),
+            departing=store.leaving,
+            oldest_write_s=store.disk.oldest_write_s(),
+            demand=store.leader.demand() if store.capacity.enabled else {},
+            leads={
+                run: leadership.leading() for run, leadership in store.leaderships.items() if leadership.state != "over"
+            },
         )
 
     def hear(self, doc: dict, asked_at: float) -> None:
         """Take up a store's word, given in answer to a ping that was sent at asked_at."""
         word = HeartbeatStatus.read(doc)
         sid = word.card["id"]
-        self.cards.hear(word.card, self.st.clock.now())
+        self.cards.hear(word.card, self.store.clock.now())
         before, self.words[sid] = self.words.get(sid), word
         if before is None or (before.takes, before.departing) != (word.takes, word.departing):
-            self.st.board.touch("members")
+            self.store.state_board.touch("members")
         if word.promised is not None:
             self.proofs[sid] = (asked_at, word.promised)
 
     async def run(self) -> None:
         """Ping every member at each heartbeat, and notice when this node stood still."""
-        st = self.st
+        store = self.store
         while True:
             self.ping_all()
-            before = st.clock.now()
-            await asyncio.sleep(st.beat_s)
-            self.look_at_timers(st.clock.now() - before)
-            st.disk.judge([word.oldest_write_s for sid, word in self.words.items() if self.alive(sid)])
+            before = store.clock.now()
+            await asyncio.sleep(store.heartbeat_interval_s)
+            self.look_at_timers(store.clock.now() - before)
+            store.disk.judge([word.oldest_write_s for sid, word in self.words.items() if self.alive(sid)])
 
     def ping_all(self, only_new: bool = False) -> None:
         """Ping every member that has no ping under way, or only those that have not said anything yet."""
-        st = self.st
-        for sid, member in st.members().items():
+        store = self.store
+        for sid, member in store.members().items():
             task = self._pings.get(sid)
-            if sid == st.id or (task is not None and not task.done()) or (only_new and sid in self.words):
+            if sid == store.id or (task is not None and not task.done()) or (only_new and sid in self.words):
                 continue
-            self._pings[sid] = st.crew.once("ping", self.ping, sid, member["addr"])
+            self._pings[sid] = store.task_group.once("ping", self.ping, sid, member["addr"])
 
     def look_at_timers(self, slept_s: float) -> None:
         """Judge this node by how late it woke from one heartbeat's sleep."""
-        late = max(0.0, slept_s - self.st.beat_s)
+        late = max(0.0, slept_s - self.store.heartbeat_interval_s)
         self.lag += LAG_WEIGHT * (late - self.lag)
-        if slept_s > self.st.quiet_s:
-            self.woke = self.st.clock.now()
+        if slept_s > self.store.quiet_s:
+            self.woke = self.store.clock.now()
             self.proofs.clear()
-            self.st.ctr.add("woke")
+            self.store.counters.add("woke")
 
-    async def ping(self, sid: str, addr: str) -> None:
+    async def ping(self, sid: str, address: str) -> None:
         """Ask a store for its word; what another life at its address answers is not believed."""
-        at = self.st.clock.now()
+        at = self.store.clock.now()
         try:
-            code, doc, _ = await self.st.lines.to(addr).call(
-                "store.ping", {"to": sid, "card": self.st.card()}, secs=self.st.quiet_s
+            code, doc, _ = await self.store.connections.to(address).call(
+                "store.ping", {"to": sid, "card": self.store.card()}, timeout_s=self.store.quiet_s
             )
         except CallError:
             return
         if code == 2008 or (code == 1000 and doc["card"]["id"] != sid):
-            self.st.ctr.add("ping.other_life")
+            self.store.counters.add("ping.other_life")
         elif code == 1000:
             self.hear(doc, at)
--- a/archhatch/store/node.py
+++ b/archhatch/store/node.py
@@ -36,30 +36,32 @@
 class StoreNode:
     """One life of a store: what its parts share, their start and their end.
 
-    >>> # store = StoreNode(boot, log); await store.start(); await store.leave()
+    >>> # store = StoreNode(settings, log); await store.start(); await store.leave()
     """
 
-    def __init__(self, boot, log, clock=None):
-        self.boot, self.log = boot, log
+    def __init__(self, settings, log, clock=None):
+        self.settings, self.log = settings, log
         self.clock = clock or Clock()
-        self.ctr = Counters()
-        self.crew = TaskGroup(log, self.ctr)
-        self.board = StateBoard()
-        self.lines = ConnectionPool(self.ctr)
-        self.port = boot.ports[0] + 1
-        self.life = f"{random.getrandbits(48):012x}"
-        self.beat_s = boot.secs("ContactMs", 1 / 15)
-        self.quiet_s = boot.secs("ContactMs", 0.25)
-        self.quorum = Quorum.of(boot)
+        self.counters = Counters()
+        self.task_group = TaskGroup(log, self.counters)
+        self.state_board = StateBoard()
+        self.connections = ConnectionPool(self.counters)
+        self.port = settings.ports[0] + 1
+        self.incarnation = f"{random.getrandbits(48):012x}"
+        self.heartbeat_interval_s = settings.seconds("ContactMs", 1 / 15)
+        self.quiet_s = settings.seconds("ContactMs", 0.25)
+        self.quorum = Quorum.of(settings)
         self.engines = Engines()
-        self.picker = LoadBalancer(boot.zone, boot.node, rest_s=boot.secs("ContactMs", 0.2), widen=0.5)
-        self.placement = self.picker.placement
+        self.load_balancer = LoadBalancer(
+            settings.zone, settings.node, rest_s=settings.seconds("ContactMs", 0.2), widen=0.5
+        )
+        self.placement = self.load_balancer.placement
         self.plan: RoutingTable | None = None
-        self.reigns: dict[str, LeadershipTerm] = {}
+        self.leaderships: dict[str, LeadershipTerm] = {}
         self.live_services: set = set()
         self.ready = False  # it is a member, and knows all terms that were granted before it was one
         self.leaving = False
-        self.disk = DiskState(self.clock, boot.secs("ContactMs"), self.ctr)
+        self.disk = DiskState(self.clock, settings.seconds("ContactMs"), self.counters)
         self.membership = Membership(self)
         self.lease_watch = LeaseWatch(self)
         self.joining = StoreJoin(self)
@@ -72,51 +74,55 @@
         self.verbs = Handlers()
         StoreHandlers(self).register(self.verbs)
         self.ledger.register(self.verbs)
-        self.desk = Server(self.verbs, log, self.ctr, lambda: self.id)
+        self.desk = Server(self.verbs, log, self.counters, lambda: self.id)
 
     async def start(self) -> None:
         """Load the log, open the port and begin all duties."""
-        self.book = WriteAheadLog(
-            self.boot.data_dir or "/tmp/archhatch",
+        self.wal = WriteAheadLog(
+            self.settings.data_dir or "/tmp/archhatch",
             "store",
             self.log,
             clock=self.clock,
-            counters=self.ctr,
-            limit_bytes=self.boot.disk_mb * 1_000_000,
+            counters=self.counters,
+            limit_bytes=self.settings.disk_mb * 1_000_000,
         )
-        self.shelf = RecordStore(self.book, self.clock, self.ctr)
-        self.shelf.load(self.book.load())
-        self.book.start()
-        if not self.shelf.id:
-            await self.shelf.take_id(f"s-{random.getrandbits(64):016x}")
+        self.record_store = RecordStore(self.wal, self.clock, self.counters)
+        self.record_store.load(self.wal.load())
+        self.wal.start()
+        if not self.record_store.id:
+            await self.record_store.take_id(f"s-{random.getrandbits(64):016x}")
         self.ledger.load()
-        self.caller = UpstreamClient(counters=self.ctr)
-        self.picker.idle = self.caller.idle
-        if self.boot.cloud is not None:
-            platform = PlatformClient(self.boot.cloud, self.boot.node, self.caller, self.clock, self.ctr)
+        self.upstream_client = UpstreamClient(counters=self.counters)
+        self.load_balancer.idle = self.upstream_client.idle
+        if self.settings.platform_api is not None:
+            platform = PlatformClient(
+                self.settings.platform_api, self.settings.node, self.upstream_client, self.clock, self.counters
+            )
             self.usage.platform = self.capacity.platform = platform
-        self.news = ConfigWatcher(self.boot, self.card(), self.lines, self.board, self.clock, self.ctr)
-        self.news.proved = self.picker.proved
-        self.copier = Replicator(
+        self.config_watcher = ConfigWatcher(
+            self.settings, self.card(), self.connections, self.state_board, self.clock, self.counters
+        )
+        self.config_watcher.proved = self.load_balancer.proved
+        self.replicator = Replicator(
             self.id,
-            self.shelf,
-            self.lines,
+            self.record_store,
+            self.connections,
             self.members,
             self.alive,
-            self.crew,
-            self.ctr,
-            secs=self.quiet_s * 1.5,
+            self.task_group,
+            self.counters,
+            timeout_s=self.quiet_s * 1.5,
             quorum=self.quorum,
             takes=self.membership.takes,
             watch=self.disk.watch,
             prefers=self.evacuation.preferred,
         )
-        self.leader = PartitionLeader(self, self.boot.share_lock_s, self.boot.share_locks)
+        self.leader = PartitionLeader(self, self.settings.share_lock_s, self.settings.share_locks)
         self.worker = Worker(self)
         self.orders = WeightOrders(self)
-        await self.desk.open(f"{self.boot.ip}:{self.port}")
+        await self.desk.open(f"{self.settings.ip}:{self.port}")
         duties = {
-            "news": self.news.run,
+            "news": self.config_watcher.run,
             "parts": self.joining.run,
             "roll": self._roll_loop,
             "pings": self.membership.run,
@@ -138,13 +144,13 @@
         if self.capacity.enabled:
             duties["capacity lease"] = self.capacity.lease.run
         for name, duty in duties.items():
-            self.crew.keep(name, duty)
-        self.log.info("store {} is up; lots={} bytes={}", self.id, len(self.shelf.lots), self.book.size)
+            self.task_group.keep(name, duty)
+        self.log.info("store {} is up; lots={} bytes={}", self.id, len(self.record_store.batch_jobs), self.wal.size)
 
     @property
     def id(self) -> str:
         """This disk's name among the stores."""
-        return self.shelf.id
+        return self.record_store.id
 
     @property
     def lag(self) -> float:
@@ -156,33 +162,33 @@
         return {
             "id": self.id,
             "klass": "store",
-            "name": self.boot.node,
-            "ip": self.boot.ip,
-            "zone": self.boot.zone,
-            "life": self.life,
+            "name": self.settings.node,
+            "ip": self.settings.ip,
+            "zone": self.settings.zone,
+            "life": self.incarnation,
         }
 
     async def leave(self) -> None:
         """Hand on what this store leads, have its copies made elsewhere, then end."""
         self.leaving = True
         await Departure(self).run()
-        await self.crew.end()
+        await self.task_group.end()
         await self.desk.close()
-        await self.caller.close()
-        self.lines.end()
+        await self.upstream_client.close()
+        self.connections.end()
         await self.ledger.close()
-        await self.book.close()
-        self.log.info("counters {}", self.ctr.line())
+        await self.wal.close()
+        self.log.info("counters {}", self.counters.line())
 
     # -- what others and the news say
 
     def gap_s(self) -> float:
         """The unit for pauses that hang on how fast replicas should answer."""
-        return self.boot.secs("ContactMs", 1 / 12)
+        return self.settings.seconds("ContactMs", 1 / 12)
 
     def members(self) -> dict:
         """All stores of the membership, with their addresses."""
-        stores = (self.news.parts.get("plan") or {}).get("stores", {})
+        stores = (self.config_watcher.shards.get("plan") or {}).get("stores", {})
         return {sid: {**member, "addr": self.addr_of(member)} for sid, member in stores.items()}
 
     def addr_of(self, member: dict) -> str:
@@ -193,23 +199,23 @@
         """Whether a store is in touch."""
         return self.membership.alive(sid)
 
-    def confirmed(self, run: str, term: int, secs: float) -> bool:
+    def confirmed(self, run: str, term: int, timeout_s: float) -> bool:
         """Whether enough stores said within secs that they know no higher term of a run."""
-        return self.membership.confirmed(run, term, secs)
+        return self.membership.confirmed(run, term, timeout_s)
 
     def named(self) -> dict:
         """The newest named version of each model."""
         out: dict = {}
-        for val in self.news.parts.values():
-            for model, rev in (val.get("named") or {}).items():
+        for value in self.config_watcher.shards.values():
+            for model, rev in (value.get("named") or {}).items():
                 out[model] = max(rev, out.get(model, 1))
         return out
 
     def leases(self) -> dict:
         """The runs' leases as the news have them."""
         out: dict = {}
-        for val in self.news.parts.values():
-            out.update(val.get("tenures") or {})
+        for value in self.config_watcher.shards.values():
+            out.update(value.get("tenures") or {})
         return out
 
     tenures = leases  # the name that the share groups' workers use
@@ -220,7 +226,7 @@
 
     # -- calls to stores, this one among them
 
-    async def ask_store(self, sid, addr, verb, doc):
+    async def ask_store(self, sid, address, verb, doc):
         """Call a store's verb; None if that very store does not answer."""
         doc = {"to": sid, **doc}
         if sid == self.id:
@@ -229,22 +235,22 @@
             except Refusal:
                 return None
         try:
-            code, out, _ = await self.lines.to(addr).call(verb, doc, secs=self.quiet_s * 1.5)
+            code, out, _ = await self.connections.to(address).call(verb, doc, timeout_s=self.quiet_s * 1.5)
         except CallError:
             return None
         return out if code == 1000 else None
 
-    async def fetch(self, sid, addr, lid, poss, lot):
+    async def fetch(self, sid, address, job_id, poss, batch_job):
         """Records of a lot from another store, or None."""
-        return await fetch_over(self, sid, addr, lid, poss, lot)
+        return await fetch_over(self, sid, address, job_id, poss, batch_job)
 
     async def _roll_loop(self) -> None:
         turn = 0
         while True:
-            entries = self.news.take_roll()
-            self.picker.fold(entries)
+            entries = self.config_watcher.take_roll()
+            self.load_balancer.fold(entries)
             self.engines.fold(entries)
             if entries:
-                self.board.touch("work")
-                self.board.touch("orders")
-            turn = await self.board.news("roll", turn)
+                self.state_board.touch("work")
+                self.state_board.touch("orders")
+            turn = await self.state_board.wait_for_change("roll", turn)
--- a/archhatch/store/proxy.py
+++ b/archhatch/store/proxy.py
@@ -15,27 +15,27 @@
     """
 
     def __init__(self, store):
-        self.st = store
+        self.store = store
 
     async def send(self, doc: dict, body: bytes) -> tuple:
         """Send an idempotent request once. A refusal says that nothing was sent."""
-        st, began = self.st, self.st.clock.now()
-        if st.leaving:
+        store, began = self.store, self.store.clock.now()
+        if store.leaving:
             raise Refusal(LEAVING)
-        if st.plan is None:
+        if store.plan is None:
             raise Refusal(NOT_SURE)
-        lane = st.plan.lane(doc["host"], doc["target"].split("?", 1)[0])
-        if lane is None or lane.kind != "idempotent" or doc["service"] not in [name for name, _ in lane.split]:
+        route = store.plan.route(doc["host"], doc["target"].split("?", 1)[0])
+        if route is None or route.kind != "idempotent" or doc["service"] not in [name for name, _ in route.split]:
             raise Refusal(NO_LANE)  # its configuration is another one than the edge's
-        line = st.picker.pick(doc["service"], set(doc["tried"]), began, lane)
+        line = store.load_balancer.pick(doc["service"], set(doc["tried"]), began, route)
         if line is None:
             raise Refusal(NOTHING_FREE)
         end = began + doc["secs"]
         line.under_way += 1
-        st.ctr.add("proxy.send")
+        store.counters.add("proxy.send")
         try:
-            ans = await st.caller.send(
-                line.addr,
+            answer = await store.upstream_client.send(
+                line.address,
                 line.iid,
                 doc["method"],
                 doc["target"],
@@ -44,12 +44,12 @@
                 doc["rid"],
                 doc["secs"],
                 AGAIN,
-                lambda: st.clock.now() < end,
+                lambda: store.clock.now() < end,
             )
         finally:
             line.under_way -= 1
-            st.board.touch("score")  # reward calls may wait for the place
-        now = st.clock.now()
-        st.picker.judge(line, ans, now, now - began, lane.aim_s * 0.3)
-        heads = [list(head) for head in ans.heads]
-        return {"ran": ans.ran.value, "status": ans.status, "heads": heads, "why": ans.why}, ans.body
+            store.state_board.touch("score")  # reward calls may wait for the place
+        now = store.clock.now()
+        store.load_balancer.judge(line, answer, now, now - began, route.aim_s * 0.3)
+        heads = [list(head) for head in answer.heads]
+        return {"ran": answer.ran.value, "status": answer.status, "heads": heads, "why": answer.why}, answer.body
--- a/archhatch/store/repair.py
+++ b/archhatch/store/repair.py
@@ -14,47 +14,53 @@
 class Repair:
     """Rounds of upkeep, at once when the stores change.
 
-    >>> # repair = Repair(store); crew.keep("mend", repair.run); crew.keep("disk", repair.probe_disk)
+    >>> # repair = Repair(store); task_group.keep("mend", repair.run); task_group.keep("disk", repair.probe_disk)
     """
 
     def __init__(self, store):
-        self.st = store
+        self.store = store
 
     async def run(self) -> None:
         """One round after the other."""
-        st, turn = self.st, 0
+        store, turn = self.store, 0
         while True:
-            lacking = any(reign.lacks_copies() for reign in st.reigns.values())
-            turn = await st.board.news("members", turn, st.beat_s * (1 if lacking else PACE))
+            lacking = any(leadership.lacks_copies() for leadership in store.leaderships.values())
+            turn = await store.state_board.wait_for_change(
+                "members", turn, store.heartbeat_interval_s * (1 if lacking else PACE)
+            )
             await self.round()
 
     async def round(self) -> None:
         """Mend all runs that this store leads, side by side; then forget and shorten what nobody needs."""
-        st = self.st
-        holding = [reign for reign in st.reigns.values() if reign.state == "holding"]
-        await asyncio.gather(*(reign.mend() for reign in holding))
-        for reign in holding:
-            reign.forget()
-        keep_s, now = st.boot.secs("StatusS", 2), st.clock.now()
-        old = [lid for lid, entry in st.shelf.lots.items() if entry["end"] is not None and now - entry["at"] > keep_s]
-        st.shelf.forget(old, st.boot.secs("LeaseMs", 2))
-        await st.shelf.rewrite_if_due()
+        store = self.store
+        holding = [leadership for leadership in store.leaderships.values() if leadership.state == "holding"]
+        await asyncio.gather(*(leadership.mend() for leadership in holding))
+        for leadership in holding:
+            leadership.forget()
+        keep_s, now = store.settings.seconds("StatusS", 2), store.clock.now()
+        old = [
+            job_id
+            for job_id, entry in store.record_store.batch_jobs.items()
+            if entry["end"] is not None and now - entry["at"] > keep_s
+        ]
+        store.record_store.forget(old, store.settings.seconds("LeaseMs", 2))
+        await store.record_store.rewrite_if_due()
 
     async def probe_disk(self) -> None:
         """Try a disk that took nothing until it takes a small record again."""
-        st = self.st
+        store = self.store
         while True:
-            await asyncio.sleep(st.beat_s)
-            if st.disk.may_probe():
+            await asyncio.sleep(store.heartbeat_interval_s)
+            if store.disk.may_probe():
                 await self.probe()
 
     async def probe(self) -> None:
         """Write a record that means nothing: a promise of no run's term 0."""
-        st = self.st
+        store = self.store
         raw = pack(Record({"k": "P", "run": "", "term": 0}, bytes(PROBE_BYTES)))
         try:
-            await st.disk.watch(st.book.append(raw))
+            await store.disk.watch(store.wal.append(raw))
         except LogError:
             return
-        st.disk.recovered()
-        st.log.info("the disk takes records again")
+        store.disk.recovered()
+        store.log.info("the disk takes records again")
--- a/archhatch/upstream/client.py
+++ b/archhatch/upstream/client.py
@@ -63,7 +63,7 @@
 class UpstreamClient:
     """Holds the connections to replicas; sends requests as they are, byte for byte.
 
-    >>> # ans = await caller.send("10.0.0.9:8080", "i-1", "POST", "/a/b", heads, body, rid="r", secs=1.0)
+    >>> # answer = await client.send("10.0.0.9:8080", "i-1", "POST", "/a/b", heads, body, rid="r", timeout_s=1.0)
     """
 
     def __init__(self, per_host: int = 0, now=time.monotonic, counters=None):
@@ -93,23 +93,23 @@
     async def close(self) -> None:
         await self.session.close()
 
-    def idle(self, addr: str) -> bool:
+    def idle(self, address: str) -> bool:
         """Whether a send to an address needs no new connection.
 
-        >>> # caller.idle("10.0.0.9:8080")
+        >>> # upstream_client.idle("10.0.0.9:8080")
         """
-        return self.kept.idle(addr)
+        return self.kept.idle(address)
 
     @asynccontextmanager
     async def ask(
         self,
-        addr: str,
+        address: str,
         iid: str,
         method: str,
         target: str,
         heads,
         body: bytes,
-        secs: float,
+        timeout_s: float,
         mode: str = "",
         may_send: Callable[[], bool] | None = None,
     ):
@@ -124,58 +124,60 @@
         out = CIMultiDict(pass_on(heads))
         if iid:
             out[EXPECT_ID] = iid
-        end = self.now() + secs
+        end = self.now() + timeout_s
         while True:
             left = max(0.001, end - self.now())
-            if secs > 0:
+            if timeout_s > 0:
                 out[DEADLINE] = str(max(1, int(left * 1000)))
-            use, resp = Use(mode, may_send=may_send), None
+            use, response = Use(mode, may_send=may_send), None
             USE.set(use)
             try:
                 async with self.session.request(
                     method,
-                    URL(f"http://{addr}{target}", encoded=True),
+                    URL(f"http://{address}{target}", encoded=True),
                     headers=out,
                     data=body if body else None,
                     allow_redirects=False,
-                    timeout=aiohttp.ClientTimeout(total=left if secs > 0 else None, sock_connect=min(1.0, secs or 1.0)),
-                ) as resp:
-                    self.kept.served(addr, use, resp.headers.get("Keep-Alive", ""))
-                    yield resp
+                    timeout=aiohttp.ClientTimeout(
+                        total=left if timeout_s > 0 else None, sock_connect=min(1.0, timeout_s or 1.0)
+                    ),
+                ) as response:
+                    self.kept.served(address, use, response.headers.get("Keep-Alive", ""))
+                    yield response
                     return
             except aiohttp.ClientConnectorError:
                 raise
             except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as e:
-                if resp is not None or not self.kept.was_reset(addr, use):
+                if response is not None or not self.kept.was_reset(address, use):
                     raise
                 if mode != AGAIN:
                     raise StaleConnectionError(repr(e)) from e
-                if secs > 0 and self.now() >= end:
+                if timeout_s > 0 and self.now() >= end:
                     raise
 
     async def send(
         self,
-        addr: str,
+        address: str,
         iid: str,
         method: str,
         target: str,
         heads,
         body: bytes,
         rid: str,
-        secs: float,
+        timeout_s: float,
         mode: str = "",
         may_send: Callable[[], bool] | None = None,
     ) -> Answer:
         """Send and read the whole answer; says what is certain about it. The modes are those of ask()."""
         try:
-            async with self.ask(addr, iid, method, target, heads, body, secs, mode, may_send) as resp:
-                if not belongs(resp, rid, mode):
-                    resp.close()
+            async with self.ask(address, iid, method, target, heads, body, timeout_s, mode, may_send) as response:
+                if not belongs(response, rid, mode):
+                    response.close()
                     return Answer(Ran.MAYBE, why="answer of another request")
-                data = await resp.read()
-                if not has_end(resp):
-                    return Answer(Ran.MAYBE, resp.status, why="nothing tells where its body ends")
-                return judge(resp.status, list(resp.headers.items()), data)
+                data = await response.read()
+                if not has_end(response):
+                    return Answer(Ran.MAYBE, response.status, why="nothing tells where its body ends")
+                return judge(response.status, list(response.headers.items()), data)
         except NotSentError as e:
             return Answer(Ran.NO, why=repr(e), stale=True)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as e:
@@ -188,30 +190,30 @@
             return Answer(Ran.MAYBE, why=repr(e))
 
 
-def belongs(resp, rid: str, mode: str = "") -> bool:
+def belongs(response, rid: str, mode: str = "") -> bool:
     """Whether an answer may count as that of a request: it bears the request's id, once or more often, and no other.
 
     Without an id it proves nothing, but that a request which may be repeated can go elsewhere. An interim answer (1xx)
     in the place of the final one is none.
     """
-    echoes = resp.headers.getall(ECHO, [])
-    if resp.status < 200 or any(echo != rid for echo in echoes):
+    echoes = response.headers.getall(ECHO, [])
+    if response.status < 200 or any(echo != rid for echo in echoes):
         return False
-    return bool(echoes) or (mode != ONCE and says_not_run(resp))
+    return bool(echoes) or (mode != ONCE and says_not_run(response))
 
 
-def says_not_run(resp) -> bool:
+def says_not_run(response) -> bool:
     """Whether an answer says that its request was turned away."""
-    return NOT_RUN in resp.headers or resp.status == 421
+    return NOT_RUN in response.headers or response.status == 421
 
 
-def has_end(resp) -> bool:
+def has_end(response) -> bool:
     """Whether an answer states where its body ends. One that ends with its connection looks whole when it was cut."""
     return (
-        resp.method == "HEAD"
-        or resp.status in (204, 304)
-        or "Content-Length" in resp.headers
-        or "chunked" in resp.headers.get("Transfer-Encoding", "").lower()
+        response.method == "HEAD"
+        or response.status in (204, 304)
+        or "Content-Length" in response.headers
+        or "chunked" in response.headers.get("Transfer-Encoding", "").lower()
     )
 
 
--- a/archhatch/upstream/connection_pool.py
+++ b/archhatch/upstream/connection_pool.py
@@ -84,52 +84,52 @@
     >>> # conn = PooledConnector(limit=0); conn.idle("10.0.0.9:8080")
     """
 
-    def __init__(self, now=time.monotonic, counters=None, **kw):
-        super().__init__(**kw)
+    def __init__(self, now=time.monotonic, counters=None, **kwargs):
+        super().__init__(**kwargs)
         self._counters = counters
         self._factory = functools.partial(PooledProtocol, loop=self._loop)
         self._now = now
         self._keys: dict[str, tuple] = {}
         self._seen: dict[str, _Seen] = {}
 
-    def idle(self, addr: str) -> bool:
+    def idle(self, address: str) -> bool:
         """Whether a connection to an address is open, unused, and fit for a request that may be repeated."""
-        kept = self._conns.get(self._keys.get(addr))
-        return bool(kept) and kept[-1][0].is_connected() and self._idled(kept[-1][0]) <= self._most(addr, "")
+        kept = self._conns.get(self._keys.get(address))
+        return bool(kept) and kept[-1][0].is_connected() and self._idled(kept[-1][0]) <= self._most(address, "")
 
-    def served(self, addr: str, use: Use, keep_alive: str) -> None:
+    def served(self, address: str, use: Use, keep_alive: str) -> None:
         """An answer came on a connection."""
-        seen, now = self._seen_at(addr), self._now()
+        seen, now = self._seen_at(address), self._now()
         stated = re.search(r"(?:timeout\s*=\s*)?(\d+)", keep_alive)
         if stated is not None:
             seen.stated = float(stated[1])
         if use.idle is not None and (use.idle >= seen.served or now - seen.served_at > PROVEN_S):
             seen.served, seen.served_at = use.idle, now
 
-    def was_reset(self, addr: str, use: Use) -> bool:
+    def was_reset(self, address: str, use: Use) -> bool:
         """A connection broke before any answer; True if it was a kept one that must have been forgotten, which says
         nothing of the replica's health."""
         if use.idle is None or use.idle < IDLED_S or self._now() - use.taken > AT_ONCE_S:
             return False
-        seen, now = self._seen_at(addr), self._now()
+        seen, now = self._seen_at(address), self._now()
         if use.idle <= seen.reset or now - seen.reset_at > PROVEN_S:
             seen.reset, seen.reset_at = use.idle, now
         if seen.served >= use.idle:
             seen.served = 0.0  # what served before does no more
         return True
 
-    def _seen_at(self, addr: str) -> _Seen:
-        seen = self._seen.get(addr)
+    def _seen_at(self, address: str) -> _Seen:
+        seen = self._seen.get(address)
         if seen is None:
-            seen = self._seen[addr] = _Seen()
+            seen = self._seen[address] = _Seen()
         return seen
 
     def _idled(self, proto) -> float:
         return self._now() - getattr(proto, "idle_from", float("-inf"))
 
-    def _most(self, addr: str, mode: str) -> float:
+    def _most(self, address: str, mode: str) -> float:
         """The longest idle time after which a request may use a connection to an address."""
-        seen, now = self._seen.get(addr), self._now()
+        seen, now = self._seen.get(address), self._now()
         if seen is None:
             return 0.0 if mode == ONCE else float("inf")
         most = STATED * seen.stated
@@ -139,19 +139,19 @@
             most = min(most, seen.served if now - seen.served_at <= PROVEN_S else 0.0)
         return most
 
-    async def connect(self, req, traces, timeout):
-        key = req.connection_key
+    async def connect(self, request, traces, timeout):
+        key = request.connection_key
         self._keys[f"{key.host}:{key.port}"] = key
-        conn, use = await super().connect(req, traces, timeout), USE.get()
+        conn, use = await super().connect(request, traces, timeout), USE.get()
         if use is not None and use.may_send is not None and not use.may_send():
             conn.release()
             raise NotSentError("its time was over when the connection was there")
         return conn
 
-    async def _create_connection(self, req, traces, timeout):
+    async def _create_connection(self, request, traces, timeout):
         if self._counters is not None:
             self._counters.add("connect.new")  # dear to replicas
-        return await super()._create_connection(req, traces, timeout)
+        return await super()._create_connection(request, traces, timeout)
 
     async def _get(self, key, traces):
         # aiohttp would take the one that idled longest, which keeps more of them open than are needed
@@ -161,9 +161,9 @@
         if not kept:
             self._conns.pop(key, None)
             return None
-        idle, addr = self._idled(kept[-1][0]), f"{key.host}:{key.port}"
-        if idle > self._most(addr, use.mode if use is not None else ""):
-            if idle > self._most(addr, ""):
+        idle, address = self._idled(kept[-1][0]), f"{key.host}:{key.port}"
+        if idle > self._most(address, use.mode if use is not None else ""):
+            if idle > self._most(address, ""):
                 for proto, _ in self._conns.pop(key):  # those that idled longer are no better
                     proto.close()
             return None
--- a/archhatch/upstream/event_stream.py
+++ b/archhatch/upstream/event_stream.py
@@ -39,16 +39,16 @@
 def _event(raw: bytes) -> Event:
     eid, data, version = "", [], ""
     for row in raw.decode("utf-8", "surrogateescape").split("\n"):
-        name, sep, val = row.partition(":")
+        name, sep, value = row.partition(":")
         if not sep:
             continue
-        val = val[1:] if val.startswith(" ") else val
+        value = value[1:] if value.startswith(" ") else value
         if name == "id":
-            eid = val
+            eid = value
         elif name == "data":
-            data.append(val)
+            data.append(value)
         elif name == "x-archhatch-weight-versions":
-            version = val
+            version = value
     return Event(eid, "\n".join(data), version, raw)
 
 
--- a/archhatch/upstream/load_balancer.py
+++ b/archhatch/upstream/load_balancer.py
@@ -32,7 +32,7 @@
     """What this process knows of one replica."""
 
     iid: str
-    addr: str
+    address: str
     service: str
     zone: str
     slots: int
@@ -47,7 +47,7 @@
     sheds: int = 0  # times that it was full, since it served
     full_until: float = float("-inf")
     trial_at: int = -1000  # the service's count of picks at the last trial
-    fitness: ReplicaHealth = field(default_factory=ReplicaHealth)
+    health: ReplicaHealth = field(default_factory=ReplicaHealth)
 
 
 class _Pool:
@@ -89,49 +89,49 @@
 
     def fold(self, entries: list) -> None:
         """Take up changed entries of the roll."""
-        for ent in entries:
-            t = self.all.get(ent["id"])
-            if ent["state"] == "gone":
+        for entry in entries:
+            t = self.all.get(entry["id"])
+            if entry["state"] == "gone":
                 if t is not None:
                     self._drop(t)
                 continue
             if t is None:
-                t = self._add(ent)
-            if ent["state"] == "draining" and not t.draining:
+                t = self._add(entry)
+            if entry["state"] == "draining" and not t.draining:
                 t.draining = True
                 self._leave(t)
-            was, t.silent = t.silent, bool(ent.get("silent"))
+            was, t.silent = t.silent, bool(entry.get("silent"))
             if was and not t.silent:
-                t.fitness.hint()
+                t.health.hint()
 
-    def _add(self, ent: dict) -> ReplicaEndpoint:
-        t = ReplicaEndpoint(ent["id"], ent["addr"], ent["service"], ent["zone"], ent["slots"])
-        old = self.by_addr.get(t.addr)
+    def _add(self, entry: dict) -> ReplicaEndpoint:
+        t = ReplicaEndpoint(entry["id"], entry["addr"], entry["service"], entry["zone"], entry["slots"])
+        old = self.by_addr.get(t.address)
         if old is not None:  # a new life at an address ends the one that was there
             self._drop(old)
-        self.all[t.iid] = self.by_addr[t.addr] = t
+        self.all[t.iid] = self.by_addr[t.address] = t
         self.by_service.setdefault(t.service, {})[t.iid] = t
         pool = self.pools.get(t.service)
         if pool is None:
             pool = self.pools[t.service] = _Pool(self.me, self.zone)
         pool.subset.add(t.iid, t.zone, t)
-        t.fitness = ReplicaHealth(pool.peers)
+        t.health = ReplicaHealth(pool.peers)
         return t
 
     def _drop(self, t: ReplicaEndpoint) -> None:
         del self.all[t.iid]
         self.by_service[t.service].pop(t.iid, None)
         self._leave(t)
-        if self.by_addr.get(t.addr) is t:
-            del self.by_addr[t.addr]
+        if self.by_addr.get(t.address) is t:
+            del self.by_addr[t.address]
 
     def _leave(self, t: ReplicaEndpoint) -> None:
         pool = self.pools[t.service]
         pool.subset.drop(t.iid)
-        pool.peers.leave(t.fitness)
+        pool.peers.leave(t.health)
 
     def pick(
-        self, service: str, tried: set, now: float, lane=None, sure: bool = False, early: bool = False
+        self, service: str, tried: set, now: float, route=None, sure: bool = False, early: bool = False
     ) -> ReplicaEndpoint | None:
         """The best replica that was not tried yet, of as few as will do.
 
@@ -142,7 +142,7 @@
         pool = self.pools.get(service)
         if pool is None:
             return None
-        zones = None if lane is None else self.placement.zones(lane)
+        zones = None if route is None else self.placement.zones(route)
         best, best_cost, n = None, None, 0
         for count, block in enumerate(pool.subset.blocks(), 1):
             for t in block:
@@ -163,22 +163,22 @@
         if early and (best is None or not self._well(best, pool, now)):
             return None
         pool.picks += 1
-        if best is not None and best.fitness.trials:
+        if best is not None and best.health.trials:
             best.trial_at = pool.picks
         return best
 
-    def has_other(self, service: str, iid: str, lane) -> bool:
+    def has_other(self, service: str, iid: str, route) -> bool:
         """Whether a request may go on at another replica than this one, under the placement policy; a mere question,
         unlike pick()."""
-        zones = self.placement.zones(lane)
+        zones = self.placement.zones(route)
         return any(
             replica.iid != iid and not replica.draining and (zones is None or replica.zone in zones)
             for replica in (self.by_service.get(service) or {}).values()
         )
 
-    def refusal(self, service: str, lane) -> int:
+    def refusal(self, service: str, route) -> int:
         """The code for a lane's request that no replica was picked for: whether the policy left none at all."""
-        zones = self.placement.zones(lane)
+        zones = self.placement.zones(route)
         if zones is None or any(t.zone in zones for t in (self.by_service.get(service) or {}).values()):
             return 3002
         return 3101
@@ -194,7 +194,7 @@
     def _well(self, t: ReplicaEndpoint, pool: _Pool, now: float) -> bool:
         """It does well, and has a place free."""
         return (
-            t.fitness.state == "fit"
+            t.health.state == "fit"
             and self._busy(t, now) < t.slots
             and not self._dark(t, now)
             and self._slow(t, pool, now) < 1.0
@@ -232,11 +232,11 @@
         cost = self._used(t, pool, now) * (1.0 + slow) + SLOW * min(MOST_SLOW, slow)
         if t.zone != self.zone:
             cost += ZONE
-        if self.idle is not None and not self.idle(t.addr):
+        if self.idle is not None and not self.idle(t.address):
             cost += COLD
         if self._dark(t, now):
             cost += SILENT
-        fit = t.fitness
+        fit = t.health
         state = fit.look(now)
         if state == "fit":
             return cost + FAILS * fit.share(now)
@@ -248,34 +248,34 @@
             cost += 1.0
         return cost + FAILS * fit.share(now) * (2.0 if sure else 1.0)
 
-    def judge(self, t: ReplicaEndpoint, ans: Answer, now: float, took: float, typical: float) -> None:
+    def judge(self, t: ReplicaEndpoint, answer: Answer, now: float, took: float, typical: float) -> None:
         """Fold what an answer shows of a replica: its health, its pace and its load.
 
-        >>> # picker.judge(line, ans, clock.now(), 0.02, lane.aim_s * 0.3)
+        >>> # load_balancer.judge(line, answer, clock.now(), 0.02, route.aim_s * 0.3)
         """
-        for name, val in ans.heads:
+        for name, value in answer.heads:
             if name.lower() == LOAD.lower():
-                self.note_load(t, val, now)
-        if ans.ran is Ran.YES and ans.status < 500:
+                self.note_load(t, value, now)
+        if answer.ran is Ran.YES and answer.status < 500:
             self.note(t, "served", now, took, typical)
-        elif ans.ran is Ran.NO and ans.status in (429, 503):
+        elif answer.ran is Ran.NO and answer.status in (429, 503):
             self._shed(t, now)
-        elif ans.stale:
+        elif answer.stale:
             pass  # it forgot a connection; its health is not in question
-        elif ans.ran is Ran.NO or ans.silent:
+        elif answer.ran is Ran.NO or answer.silent:
             self.note(t, "vanished", now)
         else:
             self.note(t, "faulted", now)
 
     def _shed(self, t: ReplicaEndpoint, now: float) -> None:
         """It was full: load, no ill health."""
-        t.fitness.note("shed", now, self.rest_s)
+        t.health.note("shed", now, self.rest_s)
         t.full_until = now + HEARD_S * 2 ** min(t.sheds, MOST_SHEDS)
         t.sheds += 1
 
     def note(self, t: ReplicaEndpoint, what: str, now: float, took: float | None = None, typical: float = 0.1) -> None:
         """Fold what a send showed."""
-        t.fitness.note(what, now, self.rest_s)
+        t.health.note(what, now, self.rest_s)
         if what == "served":
             t.served_at, t.sheds, t.full_until = now, 0, float("-inf")
         if what == "served" and self.placement.policy is not None:
--- a/archhatch/usage/collector.py
+++ b/archhatch/usage/collector.py
@@ -26,16 +26,16 @@
     def __init__(self):
         self._words: dict[tuple, _Word] = {}
 
-    def tell(self, edge: str, life: str, version: int, sums: dict, now: float) -> None:
+    def tell(self, edge: str, incarnation: str, version: int, sums: dict, now: float) -> None:
         """An edge told its sums: {window: {tenant: requests}}; an older word than the last is passed over."""
-        word = self._words.get((edge, life))
+        word = self._words.get((edge, incarnation))
         if word is not None and version < word.version:
             return
         kept = dict(word.sums) if word is not None else {}
         kept.update(sums)
         for old in sorted(kept)[:-WINDOWS_KEPT]:
             del kept[old]
-        self._words[edge, life] = _Word(version, kept, now)
+        self._words[edge, incarnation] = _Word(version, kept, now)
         for key in [key for key, word in self._words.items() if now - word.at > KEEP_S]:
             del self._words[key]
 
--- a/archhatch/usage/counter.py
+++ b/archhatch/usage/counter.py
@@ -47,20 +47,26 @@
 class UsageSender:
     """Counts an edge's requests and tells the sums.
 
-    >>> # teller = UsageSender(edge); crew.keep("usage", teller.run); teller.began("tenant", clock.now())
+    >>> # teller = UsageSender(edge); task_group.keep("usage", teller.run); teller.began("tenant", clock.now())
     """
 
-    def __init__(self, boot, news, lines, clock, counters, life: str):
-        self.boot, self.news, self.lines, self.clock, self.counters = boot, news, lines, clock, counters
-        self.life = life
-        self.counter = UsageCounter(boot.secs("ReportWindowS"))
+    def __init__(self, settings, config_watcher, lines, clock, counters, incarnation: str):
+        self.settings, self.config_watcher, self.connections, self.clock, self.counters = (
+            settings,
+            config_watcher,
+            lines,
+            clock,
+            counters,
+        )
+        self.incarnation = incarnation
+        self.counter = UsageCounter(settings.seconds("ReportWindowS"))
         self._told: dict[str, int] = {}  # store -> the counter's version that it has
         self._failed_at: dict[str, float] = {}  # store -> when it last did not answer
         self._holder: str | None = None  # the store that holds the duty, as one of them said
 
     def began(self, tenant: str, steady: float) -> None:
         """A replica began a tenant's request at this point of the steady clock."""
-        at = self.news.agreed_time(steady)
+        at = self.config_watcher.agreed_time(steady)
         if at is None:
             self.counters.add("usage.no_time")
             return
@@ -74,10 +80,10 @@
 
     async def tell(self) -> None:
         """Tell what is new, once; an edge that ends does so last."""
-        await asyncio.gather(*(self._tell(sid, addr) for sid, addr in self._targets().items()))
+        await asyncio.gather(*(self._tell(sid, address) for sid, address in self._targets().items()))
 
     def _voters(self) -> dict:
-        group = (self.news.parts.get("plan") or {}).get("ledger", {}).get(NAMESPACE)
+        group = (self.config_watcher.shards.get("plan") or {}).get("ledger", {}).get(NAMESPACE)
         return group["voters"] if group else {}
 
     def _targets(self) -> dict:
@@ -88,17 +94,17 @@
         order.sort(key=lambda sid: (now - self._failed_at.get(sid, float("-inf")) < REST_S, sid != self._holder))
         return {sid: voters[sid] for sid in order[:TARGETS] if self._told.get(sid, 0) < self.counter.version}
 
-    async def _tell(self, sid: str, addr: str) -> None:
+    async def _tell(self, sid: str, address: str) -> None:
         version = self.counter.version
         doc = {
             "to": sid,
-            "edge": self.boot.node,
-            "life": self.life,
+            "edge": self.settings.node,
+            "life": self.incarnation,
             "version": version,
             "sums": {str(window): sums for window, sums in self.counter.sums.items()},
         }
         try:
-            code, out, _ = await self.lines.to(addr).call("usage.tell", doc, secs=CALL_S)
+            code, out, _ = await self.connections.to(address).call("usage.tell", doc, timeout_s=CALL_S)
         except CallError:
             code, out = 0, None
         if code != 1000:
--- a/archhatch/usage/reporter.py
+++ b/archhatch/usage/reporter.py
@@ -25,33 +25,33 @@
 class UsageReporter:
     """run() reports windows while this store holds the duty's lease; tell() takes the edges' words all the time.
 
-    >>> # reporter = UsageReporter(store); crew.keep("usage", reporter.run)
+    >>> # reporter = UsageReporter(store); task_group.keep("usage", reporter.run)
     """
 
     def __init__(self, store, platform: PlatformClient | None = None):
-        self.st = store
+        self.store = store
         self.lease = StandingLease(store, NAMESPACE)
         self.collector = UsageCollector()
         self.platform = platform
-        boot = store.boot
-        self.window_s, self.delay_s = boot.secs("ReportWindowS"), boot.secs("UsageDelayS")
+        settings = store.settings
+        self.window_s, self.delay_s = settings.seconds("ReportWindowS"), settings.seconds("UsageDelayS")
         self._sending: dict[str, asyncio.Task] = {}
 
     @property
     def enabled(self) -> bool:
         """Whether the platform takes usage reports here."""
-        cloud = self.st.boot.cloud
-        return cloud is not None and DUTY in cloud.duties
+        platform_api = self.store.settings.platform_api
+        return platform_api is not None and DUTY in platform_api.duties
 
     async def tell(self, doc, body) -> dict:
         """An edge's word; the answer names the store that holds the duty, as far as this one knows."""
         sums = {int(window): counts for window, counts in doc["sums"].items()}
-        self.collector.tell(doc["edge"], doc["life"], doc["version"], sums, self.st.clock.now())
+        self.collector.tell(doc["edge"], doc["life"], doc["version"], sums, self.store.clock.now())
         return {"holder": self._holder_id()}
 
     def _holder_id(self) -> str | None:
         name = self.lease.holder_hint()
-        return next((sid for sid, member in self.st.members().items() if member["name"] == name), None)
+        return next((sid for sid, member in self.store.members().items() if member["name"] == name), None)
 
     async def run(self) -> None:
         """Look for what is due, for good."""
@@ -64,14 +64,14 @@
 
     def look(self) -> None:
         """Begin to report each window that is to be closed, and go on with those that were begun."""
-        now = self.st.news.agreed_time(self.st.clock.now())
+        now = self.store.config_watcher.agreed_time(self.store.clock.now())
         if now is None:
             return
-        duties = self.st.ledger.duties(NAMESPACE)
+        duties = self.store.ledger.duties(NAMESPACE)
         for key in self._open(duties) + self._due(duties, now):
             task = self._sending.get(key)
             if task is None or task.done():
-                self._sending[key] = self.st.crew.once("usage", self._report, key)
+                self._sending[key] = self.store.task_group.once("usage", self._report, key)
         self._sending = {key: task for key, task in self._sending.items() if not task.done()}
 
     def _open(self, duties: dict) -> list:
@@ -92,9 +92,9 @@
         try:
             await protect(self.lease, key, intent, self._send)
         except RoleCallError as e:
-            self.st.ctr.add(f"usage.put_off.{e.code}")
+            self.store.counters.add(f"usage.put_off.{e.code}")
         except EffectFailedError as e:
-            self.st.log.error("usage of window {}: {}", window, e)
+            self.store.log.error("usage of window {}: {}", window, e)
 
     async def _send(self, report: dict) -> str:
         return await self.platform.deliver(f"/{DUTY}", report, self.lease)
--- a/benchmarks/demo_evacuation.py
+++ b/benchmarks/demo_evacuation.py
@@ -29,7 +29,7 @@
             shown = lines
         if any(lines[0].startswith(f"e1: {state};") for state in last):
             return
-        await day.edge.board.news("nothing", 0, 0.05)
+        await day.edge.state_board.wait_for_change("nothing", 0, 0.05)
 
 
 async def show(folder: pathlib.Path) -> None:
--- a/benchmarks/log_rewrite_memory.py
+++ b/benchmarks/log_rewrite_memory.py
@@ -41,11 +41,11 @@
 
 
 async def fill(store):
-    for lot in range(LOTS):
-        head = {"k": "L", "lot": f"l{lot}", "run": "m", "host": "h", "path": "/p/", "by": 1}
+    for batch_job in range(LOTS):
+        head = {"k": "L", "lot": f"l{batch_job}", "run": "m", "host": "h", "path": "/p/", "by": 1}
         await store.append([Record(head, body())])
         for n in range(ITEMS):
-            head = {"k": "R", "lot": f"l{lot}", "run": "m", "pos": n, "term": 1, "item": f"i{n}", "by": 1}
+            head = {"k": "R", "lot": f"l{batch_job}", "run": "m", "pos": n, "term": 1, "item": f"i{n}", "by": 1}
             await store.append([Record(head, os.urandom(RESULT_BYTES))])
 
 
@@ -58,19 +58,19 @@
     note("start")
     await fill(store)
     note(f"all records (log {log.size >> 20} MB)")
-    lots = [read_job(e["lot"].head, e["lot"].body, 0.0) for e in store.lots.values()]
-    note(f"{len(lots)} lots read in")
+    batch_jobs = [read_job(e["lot"].head, e["lot"].body, 0.0) for e in store.batch_jobs.values()]
+    note(f"{len(batch_jobs)} lots read in")
     old = list(inspect.signature(log.rewrite).parameters) == ["raws"]
     for n in (1, 2):
         await (log.rewrite(store.snapshot()) if old else log.rewrite())
         note(f"rewrite {n}")
     await log.close()
-    del store, log, lots
+    del store, log, batch_jobs
     log = WriteAheadLog(folder, "store")
     store = RecordStore(log, Clock(), Counters())
     note("before a load in the same process")
     store.load(log.load())
-    note(f"loaded {len(store.lots)} lots")
+    note(f"loaded {len(store.batch_jobs)} lots")
     print(folder)
 
 
--- a/benchmarks/measure_evacuation.py
+++ b/benchmarks/measure_evacuation.py
@@ -16,7 +16,7 @@
 sys.path[:0] = [os.path.join(ROOT, "target", "deps"), os.path.join(ROOT, "target", "test"), ROOT]
 
 from tests.support.evacuation_rig import KEY, EvacuationDay  # noqa: E402
-from tests.support.standins import lot  # noqa: E402
+from tests.support.standins import batch_job  # noqa: E402
 from tests.region_policy.test_regions_system import ZONES  # noqa: E402
 
 LOTS = 60
@@ -34,13 +34,13 @@
         NoticeKeyFile=str(key),
     ).begin()
     try:
-        await day.lots("warm", 0)
+        await day.batch_jobs("warm", 0)
         assert (await day.planned())[0] == 200
         results, began = [], time.monotonic()
         for k in range(LOTS):
             if moves and k == LOTS // 4:
                 assert (await day.evacuate("/e1/start"))[0] == 200
-            assert await day.hand_in(f"m.lot.{k}", lot(groups=4, size=4, name=f"m{k}.")) == 202
+            assert await day.hand_in(f"m.lot.{k}", batch_job(groups=4, size=4, name=f"m{k}.")) == 202
             rows = await day.read_all(f"m.lot.{k}")
             assert all(row["OperState"] == "complete" for row in rows)
             results.append(time.monotonic())
--- a/benchmarks/microbench.py
+++ b/benchmarks/microbench.py
@@ -44,14 +44,14 @@
     ]
 
 
-def least(fn, calls, rounds=3):
+def least(function, calls, rounds=3):
     """Microseconds a call, the least of some rounds; fn(k) is the k-th call."""
     best = float("inf")
     for _ in range(rounds):
         gc.collect()
         began = time.perf_counter()
         for k in range(calls):
-            fn(k)
+            function(k)
         best = min(best, time.perf_counter() - began)
     return best / calls * 1e6
 
@@ -81,19 +81,19 @@
 
 
 def rolls(count):
-    roll = ReplicaRegistry()
+    registry = ReplicaRegistry()
     for e in entries(count):
-        roll.beat(e, 0.0)
-    turn, beats = roll.turn - 1, roll.beat_turn - 1
+        registry.beat(e, 0.0)
+    turn, beats = registry.turn - 1, registry.beat_turn - 1
     calls = max(20, 50000 // count)
     return {
-        "roll since one change": least(lambda k: roll.since(turn), calls),
-        "beats since one beat": least(lambda k: roll.beats_since(beats, 1.0), calls),
+        "roll since one change": least(lambda k: registry.since(turn), calls),
+        "beats since one beat": least(lambda k: registry.beats_since(beats, 1.0), calls),
     }
 
 
-def news(count):
-    boot = check_settings(
+def feed_answer(count):
+    settings = check_settings(
         {
             "NodeName": "c",
             "Role": "core",
@@ -106,20 +106,20 @@
             "DataDir": "/tmp/unused",
         }
     )
-    core = ControlNode(boot, open_logs("bench", "CRITICAL"))
+    core = ControlNode(settings, open_logs("bench", "CRITICAL"))
     core.in_touch = lambda: True
     for e in entries(count):
-        core.roll.beat(e, 0.0)
+        core.registry.beat(e, 0.0)
     core.known["plan"] = {
         "stamp": 7,
         "val": {
             "plan": {"RouteTable": [{"Name": f"r{n}", "HostName": "h", "PathPrefix": "/"} for n in range(count // 10)]}
         },
     }
-    turn = core.roll.turn
+    turn = core.registry.turn
 
-    async def all_ask(part, after):
-        stamps = {} if part else {"plan": 7}
+    async def all_ask(shard, after):
+        stamps = {} if shard else {"plan": 7}
         for n in range(ASKERS):
             out = await core.feed.answer(
                 {
@@ -128,22 +128,22 @@
                     "busy": [],
                     "turn": after,
                     "stamps": stamps,
-                    "life": core.life,
+                    "life": core.incarnation,
                     "hold": 0.0,
                 }
             )
             if not isinstance(out, bytes):
                 out = orjson.dumps(out)
 
-    def ask(part, after):
-        return least(lambda k: asyncio.run(all_ask(part, after)), 1) / ASKERS
+    def ask(shard, after):
+        return least(lambda k: asyncio.run(all_ask(shard, after)), 1) / ASKERS
 
     return {"news, one entry": ask(False, turn - 1), "news, whole roll and part": ask(True, 0)}
 
 
 def beats(count):
     """What one beat of every replica costs on its way to another control node: microseconds and bytes a replica."""
-    boot = check_settings(
+    settings = check_settings(
         {
             "NodeName": "c",
             "Role": "core",
@@ -156,16 +156,16 @@
             "DataDir": "/tmp/unused",
         }
     )
-    a, b = (ControlNode(boot, open_logs("bench", "CRITICAL")) for _ in range(2))
+    a, b = (ControlNode(settings, open_logs("bench", "CRITICAL")) for _ in range(2))
     a.id, b.id = "a", "b"
     ents = entries(count)
 
     def ping(k):
         for e in ents:
-            a.roll.beat({**e, "seq": k + 2}, 0.0)
+            a.registry.beat({**e, "seq": k + 2}, 0.0)
         raw = orjson.dumps(a.peers.ping_doc("b:1"))
         b.peers.take_roll(orjson.loads(raw)["roll"])
-        a.peers.told["b:1"] = PeerReport("x", a.roll.beat_turn)
+        a.peers.told["b:1"] = PeerReport("x", a.registry.beat_turn)
         return len(raw)
 
     ping(0)
@@ -176,7 +176,7 @@
 
 
 def main():
-    rows = [{**picking(c), **engines(c), **rolls(c), **news(c), **beats(c)} for c in SIZES]
+    rows = [{**picking(c), **engines(c), **rolls(c), **feed_answer(c), **beats(c)} for c in SIZES]
     print(f"{'microseconds':32}" + "".join(f"{c:>12,}" for c in SIZES))
     for name in rows[0]:
         print(f"{name:32}" + "".join(f"{r[name]:>12.1f}" for r in rows))
--- a/benchmarks/thousand_changes.py
+++ b/benchmarks/thousand_changes.py
@@ -65,18 +65,18 @@
     voters = {name: Voter(f"{folder}/{name}") for name in VOTERS}
     cut, sent = {"c"}, 0
 
-    async def ask(addr, verb, doc):
+    async def ask(address, verb, doc):
         nonlocal sent
-        if addr in cut:
+        if address in cut:
             return None
         raw = orjson.dumps(doc)
-        sent += len(raw) if addr != "a" else 0
-        doc, acceptor = orjson.loads(raw), voters[addr].acceptor
+        sent += len(raw) if address != "a" else 0
+        doc, acceptor = orjson.loads(raw), voters[address].acceptor
         rest = [doc["state"]] if verb == "part.accept" else []
-        return {"me": addr, **await getattr(acceptor, verb.removeprefix("part."))(doc["ballot"], *rest)}
+        return {"me": address, **await getattr(acceptor, verb.removeprefix("part."))(doc["ballot"], *rest)}
 
     base = {"stamp": 0, "val": {}, "voters": VOTERS, "prev": None}
-    proposer = Proposer("plan", "a", commands, ask, lambda: base, lambda *a: None, Counters(), secs=5.0)
+    proposer = Proposer("plan", "a", commands, ask, lambda: base, lambda *a: None, Counters(), timeout_s=5.0)
     whole = {
         "Revision": 1,
         "RouteTable": [route(n, 1000) for n in range(routes)],
--- a/tests/capacity/test_capacity.py
+++ b/tests/capacity/test_capacity.py
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize(
-    "val, unit, text",
+    "value, unit, text",
     [
         (0.021, "core", "2.1% of a core"),
         (15_250_000, "B/s", "15.2 MB/s"),
@@ -129,8 +129,8 @@
         (0.0123, "s", "0.012 s"),
     ],
 )
-def test_shown(val, unit, text):
-    assert shown(val, unit) == text
+def test_shown(value, unit, text):
+    assert shown(value, unit) == text
 
 
 def test_the_assumptions_stand_in_the_table():
@@ -246,8 +246,8 @@
 @pytest.mark.parametrize("name", sorted(PROBES))
 def test_each_probe_still_finds_what_it_measures(name, run):
     async def once():
-        async with PROBES[name].make(8) as (fn, ops):
-            out = fn()
+        async with PROBES[name].make(8) as (function, ops):
+            out = function()
             out = await out if inspect.isawaitable(out) else out
             return out, ops
 
@@ -360,10 +360,10 @@
 @pytest.mark.parametrize("name", ["leader.fetch", "leader.batch"])
 def test_the_leaders_probe_takes_no_short_batch(name, run, monkeypatch):
     async def once():
-        async with PROBES[name].make(8) as (fn, _):
-            await fn()
+        async with PROBES[name].make(8) as (function, _):
+            await function()
 
-    monkeypatch.setattr(PartitionLeader, "_hand_out", lambda self, part, seat, now: [])
+    monkeypatch.setattr(PartitionLeader, "_hand_out", lambda self, shard, seat, now: [])
     with pytest.raises(ValueError, match="a batch of 0"):
         run(once())
 
