--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -71,17 +71,17 @@
 
 
 async def _build_frames(folder):
-    book = WriteAheadLog(str(folder), "frames")
-    assert list(book.load()) == []
-    book.start()
+    wal = WriteAheadLog(str(folder), "frames")
+    assert list(wal.load()) == []
+    wal.start()
     for raw in RAWS:
-        await book.append(raw)
-    await book.append(*GROUP)
+        await wal.append(raw)
+    await wal.append(*GROUP)
     out = {"frames.appended": only_file(folder, "frames")}
-    await book.rewrite(lambda: SNAPSHOT)
+    await wal.rewrite(lambda: SNAPSHOT)
     for raw in BEHIND:
-        await book.append(raw)
-    await book.close()
+        await wal.append(raw)
+    await wal.close()
     out["frames.rewritten"] = only_file(folder, "frames")
     return out
 
@@ -92,9 +92,9 @@
         place = folder / stage
         place.mkdir()
         shutil.copyfile(DATA / f"frames.{stage}", place / name)
-        book = WriteAheadLog(str(place), "frames")
-        out[stage] = [raw.hex() for raw in book.load()]
-        assert not book.damaged and pathlib.Path(book.path).name == name
+        wal = WriteAheadLog(str(place), "frames")
+        out[stage] = [raw.hex() for raw in wal.load()]
+        assert not wal.damaged and pathlib.Path(wal.path).name == name
         assert (place / name).read_bytes() == kept(f"frames.{stage}")
     return out
 
@@ -123,8 +123,8 @@
 def test_which_of_two_kept_generations_counts(tmp_path, cut, chosen, records):
     (tmp_path / "frames").write_bytes(kept("frames.appended"))
     (tmp_path / "frames.1").write_bytes(kept("frames.rewritten")[:cut])
-    book = WriteAheadLog(str(tmp_path), "frames")
-    assert list(book.load()) == records and not book.damaged
+    wal = WriteAheadLog(str(tmp_path), "frames")
+    assert list(wal.load()) == records and not wal.damaged
     assert only_file(tmp_path, "frames")[0] == chosen
 
 
@@ -350,19 +350,19 @@
 async def _core_node(folder):
     """A control node that has its log and its registers, and is in touch with nobody but a second voter in memory."""
     node = ControlNode(settings(folder, "c1", "10.0.0.1"), open_logs("t", "CRITICAL"), HandClock())
-    node.book.snapshot = node.registers.snapshot
-    node.registers.load(node.book, node.book.load())
-    node.book.start()
+    node.wal.snapshot = node.registers.snapshot
+    node.registers.load(node.wal, node.wal.load())
+    node.wal.start()
     return node
 
 
 async def _build_core(folder):
     node = await _core_node(folder)
-    other = {part: Acceptor(part, MemBook(), Counters()) for part in PARTS}
+    other = {shard: Acceptor(shard, MemBook(), Counters()) for shard in PARTS}
     me, second = "f-10.0.0.1", "f-10.0.0.2"
-    address, second_address = node.addr, "10.0.0.2:1"
+    address, second_address = node.address, "10.0.0.2:1"
     node.id, node.registers.founders = me, {me: address}
-    await node.book.append(node.registers.identity())
+    await node.wal.append(node.registers.identity())
 
     async def ask(addr, verb, doc):
         name, voters = (me, node.registers.acceptors) if addr == address else (second, other)
@@ -372,15 +372,15 @@
     node.ask, node.peers.spread_commit = ask, lambda *told: None
     registers, lines = node.registers, []
     registers.start()
-    for part in PARTS:
-        registers.proposers[part].life = f"life-{part}"
+    for shard in PARTS:
+        registers.proposers[shard].incarnation = f"life-{shard}"
 
     async def take(steps):
-        for part, name, args, code in steps:
-            got, _ = await registers.run_here(part, name, copy.deepcopy(args), 30.0)
+        for shard, name, args, code in steps:
+            got, _ = await registers.run_here(shard, name, copy.deepcopy(args), 30.0)
             assert got == code, (name, args, got)
-        for part, state in registers.known.items():
-            lines.append(b"%s %d %s\n" % (part.encode(), state["stamp"], orjson.dumps(state["val"])))
+        for shard, state in registers.known.items():
+            lines.append(b"%s %d %s\n" % (shard.encode(), state["stamp"], orjson.dumps(state["val"])))
 
     await take(STEPS[:20])
     # another node's promise comes between, under a higher ballot
@@ -395,9 +395,9 @@
     ]  # promised, accepted nothing
     assert (await registers.acceptors["p1"].prepare([8, "f-10.0.0.9", "another-life"]))["ok"]  # above what it accepted
     out = {"core.appended": only_file(folder, "core")}
-    await node.book.rewrite()
+    await node.wal.rewrite()
     await take([("p0", "named.put", {"model": "llm", "rev": 3}, 1000)])
-    await node.book.close()
+    await node.wal.close()
     out["core.rewritten"] = only_file(folder, "core")
     out["core.values"] = ("", b"".join(lines))
     return out
@@ -419,15 +419,15 @@
 def _core_state(folder):
     """What a control node makes of its log."""
     node = ControlNode(settings(folder, "c1", "10.0.0.1"), open_logs("t", "CRITICAL"), HandClock())
-    node.registers.load(node.book, node.book.load())
+    node.registers.load(node.wal, node.wal.load())
     votes = {
-        part: {
+        shard: {
             "promised": list(voter.promised),
-            "ballot": list(voter.ballot),
+            "ballot": list(voter.proposal_number),
             "state": voter.state,
-            "base": node.registers.base(part)["stamp"],
+            "base": node.registers.base(shard)["stamp"],
         }
-        for part, voter in node.registers.acceptors.items()
+        for shard, voter in node.registers.acceptors.items()
     }
     return {"id": node.id, "founders": node.registers.founders, "votes": votes}
 
@@ -459,10 +459,10 @@
 class _LogCopier(FakeCopier):
     """Has records on this store's disk, and tells that another has them as well."""
 
-    async def put(self, run, term, recs):
-        assert all(await self.st.shelf.append([Record({**r.head, "by": term}, r.body) for r in recs]))
-        for rec in recs:
-            rec.held |= {"me", "b"}
+    async def put(self, run, term, records):
+        assert all(await self.store.record_store.append([Record({**r.head, "by": term}, r.body) for r in records]))
+        for record in records:
+            record.held |= {"me", "b"}
 
 
 def _work(window, journal):
@@ -490,24 +490,29 @@
 
 async def _build_store(folder):
     clock = HandClock()
-    book = WriteAheadLog(str(folder), "store", clock=clock)
-    shelf = RecordStore(book, clock, Counters())
-    shelf.load(book.load())
-    book.start()
-    await shelf.take_id("s-0001")
+    wal = WriteAheadLog(str(folder), "store", clock=clock)
+    record_store = RecordStore(wal, clock, Counters())
+    record_store.load(wal.load())
+    wal.start()
+    await record_store.take_id("s-0001")
     store = FakeStore(clock)
-    store.shelf = store.shelves["me"] = shelf
-    store.copier = _LogCopier(store)
+    store.record_store = store.shelves["me"] = record_store
+    store.replicator = _LogCopier(store)
     first = await _hold_run(store, "llm", 1)
     clock.at += 1.25
-    for lid in ("lot-1", "lot-2"):
-        head = {"lot": lid, "host": "rollouts.example", "path": "/lots/", "tenant": "yards" if lid == "lot-1" else None}
+    for job_id in ("lot-1", "lot-2"):
+        head = {
+            "lot": job_id,
+            "host": "rollouts.example",
+            "path": "/lots/",
+            "tenant": "yards" if job_id == "lot-1" else None,
+        }
         await first.put(head, orjson.dumps(LOT))
     await first.intend("replica-1")
     for n in (1, 2):
         clock.at += 0.0625
-        await first.list_result(first.lots["lot-1"], f"i{n}", {**RESULT, "InstanceId": f"i{n}"})
-    await first.list_result(first.lots["lot-2"], "i1", RESULT)
+        await first.list_result(first.batch_jobs["lot-1"], f"i{n}", {**RESULT, "InstanceId": f"i{n}"})
+    await first.list_result(first.batch_jobs["lot-2"], "i1", RESULT)
     await first.end("lot-2")
     window = SharePartition("llm-a", 1, lock_s=30.0, most_locks=200)
     for record in _work(window, WindowJournal("llm", "llm-a")):
@@ -517,7 +522,7 @@
     second = await _hold_run(store, "llm", 2)
     clock.at += 0.5
     await second.intend("replica-2")
-    await second.list_result(second.lots["lot-1"], "i3", {**RESULT, "InstanceId": "i3"})
+    await second.list_result(second.batch_jobs["lot-1"], "i3", {**RESULT, "InstanceId": "i3"})
     restored, journal = SharePartition("llm-a", 2, lock_s=30.0, most_locks=200), WindowJournal("llm", "llm-a")
     journal.restore(restored, second.window_recs, Counters())
     restored.finish(restored.append(None, None, 0))
@@ -527,20 +532,20 @@
     behind.next(other)
     other.finish(other.append(None, None, 0))
     await second.note(behind.next(other))
-    assert (await shelf.prepare("fast", 4))["ok"]
+    assert (await record_store.prepare("fast", 4))["ok"]
     out = {"store.appended": only_file(folder, "store")}
-    await book.rewrite()
+    await wal.rewrite()
     await second.end("lot-1")
-    await book.close()
+    await wal.close()
     out["store.rewritten"] = only_file(folder, "store")
     return out
 
 
 async def _hold_run(store, run, term):
-    reign = LeadershipTerm(store, run, term)
-    await reign.begin()
-    assert reign.state == "holding"
-    return reign
+    leadership = LeadershipTerm(store, run, term)
+    await leadership.begin()
+    assert leadership.state == "holding"
+    return leadership
 
 
 def _read_store(folder):
@@ -557,18 +562,27 @@
 def _store_state(folder):
     """What a store makes of its log, and what a window's next leader makes of the store's words."""
     clock = HandClock()
-    shelf = RecordStore(WriteAheadLog(str(folder), "store", clock=clock), clock, Counters())
-    shelf.load(shelf.book.load())
-    told = shelf.told("llm")
-    lots = {lid: [[r.head, r.body.decode()] for r in shelf.fetch(lid, [0, 1, 2], True)] for lid in sorted(told["lots"])}
+    record_store = RecordStore(WriteAheadLog(str(folder), "store", clock=clock), clock, Counters())
+    record_store.load(record_store.wal.load())
+    told = record_store.told("llm")
+    batch_jobs = {
+        job_id: [[r.head, r.body.decode()] for r in record_store.fetch(job_id, [0, 1, 2], True)]
+        for job_id in sorted(told["lots"])
+    }
     windows = {}
-    for part in sorted({head["part"] for head, _ in told["windows"]}):
-        window, counters = SharePartition(part, 9, lock_s=30.0, most_locks=200), Counters()
-        journal = WindowJournal("llm", part)
-        journal.restore(window, [(h, b) for h, b in told["windows"] if h["part"] == part], counters)
+    for shard in sorted({head["part"] for head, _ in told["windows"]}):
+        window, counters = SharePartition(shard, 9, lock_s=30.0, most_locks=200), Counters()
+        journal = WindowJournal("llm", shard)
+        journal.restore(window, [(h, b) for h, b in told["windows"] if h["part"] == shard], counters)
         counts = {str(offset): count for offset, count in window.counts.items()}
-        windows[part] = [window.start, window.next, counts, journal.snapshot_epoch]
-    state = {"id": shelf.id, "promised": shelf.promised, "told": told, "lots": lots, "windows": windows}
+        windows[shard] = [window.start, window.next, counts, journal.snapshot_epoch]
+    state = {
+        "id": record_store.id,
+        "promised": record_store.promised,
+        "told": told,
+        "lots": batch_jobs,
+        "windows": windows,
+    }
     return json.loads(orjson.dumps(state))
 
 
@@ -639,15 +653,15 @@
         return await write
 
     store = SimpleNamespace(
-        boot=settings(folder, "disk-1", "10.0.1.1"),
+        settings=settings(folder, "disk-1", "10.0.1.1"),
         id=me,
         clock=clock,
         log=open_logs("t", "CRITICAL"),
-        ctr=Counters(),
-        board=StateBoard(),
+        counters=Counters(),
+        state_board=StateBoard(),
         verbs=Handlers(),
         disk=SimpleNamespace(watch=watch),
-        news=SimpleNamespace(parts={"plan": {"ledger": groups}}),
+        config_watcher=SimpleNamespace(shards={"plan": {"ledger": groups}}),
         members=lambda: {me: {"addr": "10.0.1.1:9"}},
         membership=SimpleNamespace(stays=lambda sid: True, takes=lambda sid: True),
         addr_of=lambda member: f"{member['ip']}:9",
@@ -661,7 +675,7 @@
     host, clock = _ledger_host(folder)
     host.load()
     for name, proposer in host.proposers.items():
-        proposer.life = f"life-{name}"
+        proposer.incarnation = f"life-{name}"
     lines = []
 
     async def take(steps):
@@ -674,7 +688,7 @@
 
     await take(DUTIES)
     out = {"ledger.appended": only_file(folder, "ledger")}
-    await host.book.rewrite()
+    await host.wal.rewrite()
     await take([(0, "renew", {"key": LEASE, **A, "fence": 8}, 1000)])
     await host.close()
     out["ledger.rewritten"] = only_file(folder, "ledger")
@@ -693,7 +707,7 @@
         votes = {
             name: {
                 "promised": list(voter.promised),
-                "ballot": list(voter.ballot),
+                "ballot": list(voter.proposal_number),
                 "state": voter.state,
                 "duties": host.duties(name),
             }
@@ -732,23 +746,23 @@
 
 async def _rewrite_core(folder):
     node = await _core_node(folder)
-    await node.book.rewrite()
-    await node.book.close()
+    await node.wal.rewrite()
+    await node.wal.close()
 
 
 async def _rewrite_store(folder):
     clock = HandClock()
-    shelf = RecordStore(WriteAheadLog(str(folder), "store", clock=clock), clock, Counters())
-    shelf.load(shelf.book.load())
-    shelf.book.start()
-    await shelf.book.rewrite()
-    await shelf.book.close()
+    record_store = RecordStore(WriteAheadLog(str(folder), "store", clock=clock), clock, Counters())
+    record_store.load(record_store.wal.load())
+    record_store.wal.start()
+    await record_store.wal.rewrite()
+    await record_store.wal.close()
 
 
 async def _rewrite_ledger(folder):
     host, _ = _ledger_host(folder)
     host.load()
-    await host.book.rewrite()
+    await host.wal.rewrite()
     await host.close()
 
 
@@ -773,10 +787,10 @@
 def test_every_kind_of_record_is_kept():
     content = {kind: json.loads(kept(f"{kind}.json"))["appended"]["records"] for kind in REWRITE}
     assert {head["k"] for head, _ in content["store"]} == set("IPLRESUO")
-    for kind, parts in (("core", {"plan", "p0", "p1", "p2"}), ("ledger", {"accounting", "capacity"})):
+    for kind, shards in (("core", {"plan", "p0", "p1", "p2"}), ("ledger", {"accounting", "capacity"})):
         shapes = {tuple(record) for record in content[kind]}
         assert shapes == {("p", "b"), ("p", "b", "ab", "s")} | ({("id", "founders")} if kind == "core" else set())
-        assert {record["p"] for record in content[kind] if "p" in record} == parts
+        assert {record["p"] for record in content[kind] if "p" in record} == shards
 
 
 class _EnoughError(Exception):
@@ -795,11 +809,11 @@
         node.desk = SimpleNamespace(open=no_port)
         with pytest.raises(_EnoughError):
             await node.start()
-        node.news = SimpleNamespace(parts={})
-        await node.caller.close()
+        node.config_watcher = SimpleNamespace(shards={})
+        await node.upstream_client.close()
         await node.ledger.close()
-        await node.book.close()
-        assert node.id == "s-0001" and sorted(node.shelf.lots) == ["lot-1", "lot-2"]
+        await node.wal.close()
+        assert node.id == "s-0001" and sorted(node.record_store.batch_jobs) == ["lot-1", "lot-2"]
         assert node.ledger.duties("capacity")["capacity"]["state"] == "COMMITTED"
 
     run(go())
@@ -860,14 +874,17 @@
         node = await _core_node(tmp_path)
         node.registers.start()
         node.peers.spread_commit = lambda *told: None
-        node.registers.proposers["plan"].life = "a-life"
+        node.registers.proposers["plan"].incarnation = "a-life"
         assert (await node.registers.run_here("plan", "run.begin", {"run": "llm", "term": 1}, 30.0))[0] == 1000
-        await node.book.close()
+        await node.wal.close()
 
     run(go())
-    ballot = [1, "f-10.0.0.1", "a-life"]
+    proposal_number = [1, "f-10.0.0.1", "a-life"]
     state = {**EARLIER_STATE, "stamp": 5, "val": {**EARLIER_STATE["val"], "runs": {"llm": 1}}}
-    behind = [{"p": "plan", "b": ballot}, {"p": "plan", "b": ballot, "ab": ballot, "s": state}]
+    behind = [
+        {"p": "plan", "b": proposal_number},
+        {"p": "plan", "b": proposal_number, "ab": proposal_number, "s": state},
+    ]
     added = b"".join(frame(orjson.dumps(record)) for record in behind)
     assert (tmp_path / "core").read_bytes() == kept("core.earlier") + added
 
@@ -877,20 +894,25 @@
 
     async def go():
         clock = HandClock()
-        shelf = RecordStore(WriteAheadLog(str(tmp_path), "store", clock=clock), clock, Counters())
-        shelf.load(shelf.book.load())
-        told = shelf.told("llm")
-        assert shelf.id == "s-0001" and shelf.promised == {"llm": 1}
+        record_store = RecordStore(WriteAheadLog(str(tmp_path), "store", clock=clock), clock, Counters())
+        record_store.load(record_store.wal.load())
+        told = record_store.told("llm")
+        assert record_store.id == "s-0001" and record_store.promised == {"llm": 1}
         assert told["lots"] == {"lot-1": {"lot": True, "end": False, "results": [[0, 1, "i1"]]}}
         assert (told["orders"], told["noted"], told["tick"]) == ({"replica-1": 0.0}, {}, None)
-        shelf.book.start()
+        record_store.wal.start()
         store = FakeStore(clock)
-        store.shelf = store.shelves["me"] = shelf
-        store.copier = _LogCopier(store)
-        reign = await _hold_run(store, "llm", 2)
-        lot = reign.lots["lot-1"]
-        assert (lot.model, lot.base, lot.tenant, [r.head["item"] for r in lot.results]) == ("llm-a", 0, None, ["i1"])
-        await shelf.book.close()
+        store.record_store = store.shelves["me"] = record_store
+        store.replicator = _LogCopier(store)
+        leadership = await _hold_run(store, "llm", 2)
+        batch_job = leadership.batch_jobs["lot-1"]
+        assert (batch_job.model, batch_job.base, batch_job.tenant, [r.head["item"] for r in batch_job.results]) == (
+            "llm-a",
+            0,
+            None,
+            ["i1"],
+        )
+        await record_store.wal.close()
 
     run(go())
     raws = [orjson.dumps({"k": "P", "run": "llm", "term": 2})]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def run():
-    def go(coro, secs: float = 45.0):
-        return asyncio.run(asyncio.wait_for(coro, secs))
+    def go(coro, timeout_s: float = 45.0):
+        return asyncio.run(asyncio.wait_for(coro, timeout_s))
 
     return go
--- a/tests/consensus/test_consensus.py
+++ b/tests/consensus/test_consensus.py
@@ -13,18 +13,18 @@
 
 
 @commands.on("put")
-def put(val, args):
-    if val.get("v") == args["v"]:
-        return 1000, val["v"], False
-    if args.get("match", val.get("v")) != val.get("v"):
-        return 2011, val.get("v"), False
-    val["v"] = args["v"]
+def put(value, args):
+    if value.get("v") == args["v"]:
+        return 1000, value["v"], False
+    if args.get("match", value.get("v")) != value.get("v"):
+        return 2011, value.get("v"), False
+    value["v"] = args["v"]
     return 1000, args["v"], True
 
 
 @commands.on("get")
-def get(val, args):
-    return 1000, val.get("v"), False
+def get(value, args):
+    return 1000, value.get("v"), False
 
 
 class Net:
@@ -36,10 +36,10 @@
         for n in founders:
             self.add(n)
 
-    def add(self, n, addr=None, base=True):
-        ctr = Counters()
-        keeper = Acceptor("p", MemBook(), ctr)
-        node = {"id": n, "addr": addr or n, "keeper": keeper, "known": None, "ctr": ctr, "founder": base}
+    def add(self, n, address=None, base=True):
+        counters = Counters()
+        keeper = Acceptor("p", MemBook(), counters)
+        node = {"id": n, "addr": address or n, "keeper": keeper, "known": None, "ctr": counters, "founder": base}
         self.nodes[n] = node
         node["owner"] = Proposer(
             "p",
@@ -48,8 +48,8 @@
             lambda a, v, d, n=n: self.ask(n, a, v, d),
             lambda n=n: self.base(n),
             lambda p, s, n=n: self.publish(n, s),
-            ctr,
-            secs=0.2,
+            counters,
+            timeout_s=0.2,
         )
 
     def base(self, n):
@@ -69,9 +69,9 @@
             a not in self.cut and b not in self.cut and (self.split is None or (a in self.split) == (b in self.split))
         )
 
-    async def ask(self, me, addr, verb, doc):
+    async def ask(self, me, address, verb, doc):
         await asyncio.sleep(0)
-        node = next((x for x in self.nodes.values() if x["addr"] == addr), None)
+        node = next((x for x in self.nodes.values() if x["addr"] == address), None)
         if node is None or (node["id"] != me and not self.reach(me, node["id"])):
             return None
         doc = orjson.loads(orjson.dumps(doc))
@@ -86,17 +86,17 @@
 
     def power_cycle(self, n):
         """All that is left is what the book holds."""
-        book = self.nodes[n]["keeper"].book
+        wal = self.nodes[n]["keeper"].wal
         founder = self.nodes[n]["founder"]
         self.add(n, self.nodes[n]["addr"], founder)
-        self.nodes[n]["keeper"].book = book
-        for raw in book.raws:
+        self.nodes[n]["keeper"].wal = wal
+        for raw in wal.raws:
             self.nodes[n]["keeper"].adopt(orjson.loads(raw))
 
     def wipe(self, n, new):
         """The machine comes back at its address with an empty disk: another node."""
-        addr = self.nodes.pop(n)["addr"]
-        self.add(new, addr, base=False)
+        address = self.nodes.pop(n)["addr"]
+        self.add(new, address, base=False)
 
     async def do(self, n, name, **args):
         return await self.nodes[n]["owner"].do(name, args)
@@ -282,7 +282,7 @@
 
 
 @pytest.mark.parametrize(
-    "verb, ballot, ok",
+    "verb, proposal_number, ok",
     [
         ("prepare", (1, "a"), False),
         ("prepare", (2, "a"), False),
@@ -295,11 +295,15 @@
         ("confirm", (2, "a"), False),
     ],
 )
-def test_keeper_answers_by_ballot(run, verb, ballot, ok):
+def test_keeper_answers_by_ballot(run, verb, proposal_number, ok):
     async def go():
         k = Acceptor("p", MemBook(), Counters())
         await k.prepare((2, "b"))
-        args = (ballot, {"stamp": 1, "val": {}, "voters": {}, "prev": None}) if verb == "accept" else (ballot,)
+        args = (
+            (proposal_number, {"stamp": 1, "val": {}, "voters": {}, "prev": None})
+            if verb == "accept"
+            else (proposal_number,)
+        )
         assert (await getattr(k, verb)(*args))["ok"] is ok
 
     run(go())
@@ -310,7 +314,7 @@
         k = Acceptor("p", MemBook(), Counters())
         new, old = ({"stamp": s, "val": {}, "voters": {}, "prev": None} for s in (5, 4))
         assert (await k.accept((2, "b"), new))["ok"] and not (await k.accept((2, "b"), old))["ok"]
-        assert k.ctr.all["part.accept_stale"] == 1
+        assert k.counters.all["part.accept_stale"] == 1
 
     run(go())
 
@@ -332,8 +336,8 @@
 @pytest.mark.parametrize(
     "why, other, count",
     [
-        ("its answers are those of another life", lambda ans: {**ans, "me": "another"}, "part.other_life"),
-        ("it promised a higher ballot since", lambda ans: {**ans, "ok": False, "promised": [99, "x"]}, None),
+        ("its answers are those of another life", lambda answer: {**answer, "me": "another"}, "part.other_life"),
+        ("it promised a higher ballot since", lambda answer: {**answer, "ok": False, "promised": [99, "x"]}, None),
     ],
 )
 def test_one_that_answers_for_another_or_another_ballot_is_not_counted_in(run, why, other, count):
@@ -344,9 +348,9 @@
         assert (await own.do("put", {"v": 1}))[0] == 1000
         ask = own._ask
 
-        async def turned(addr, verb, doc):
-            ans = await ask(addr, verb, doc)
-            return other(ans) if addr == "b" and ans is not None else ans
+        async def turned(address, verb, doc):
+            answer = await ask(address, verb, doc)
+            return other(answer) if address == "b" and answer is not None else answer
 
         own._ask = turned
         with pytest.raises(UnclearResultError):
@@ -358,12 +362,12 @@
     run(go())
 
 
-@pytest.mark.parametrize("ballot, ok", [((1, "a"), False), ((2, "a"), True), ((3, "a"), False)])
-def test_a_confirmation_under_another_ballot_is_counted(run, ballot, ok):
+@pytest.mark.parametrize("proposal_number, ok", [((1, "a"), False), ((2, "a"), True), ((3, "a"), False)])
+def test_a_confirmation_under_another_ballot_is_counted(run, proposal_number, ok):
     async def go():
-        ctr = Counters()
-        keeper = Acceptor("p", MemBook(), ctr)
+        counters = Counters()
+        keeper = Acceptor("p", MemBook(), counters)
         await keeper.prepare((2, "a"))
-        assert (await keeper.confirm(ballot))["ok"] is ok and ctr.all["part.confirm_refused"] == (not ok)
+        assert (await keeper.confirm(proposal_number))["ok"] is ok and counters.all["part.confirm_refused"] == (not ok)
 
     run(go())
--- a/tests/consensus/test_proposal_number.py
+++ b/tests/consensus/test_proposal_number.py
@@ -14,18 +14,18 @@
 
 
 @commands.on("set")
-def set_value(val, args):
+def set_value(value, args):
     """Set x, if the count of changes is still the one seen."""
-    if val.get("n", 0) != args["match"]:
-        return 2011, val.get("x"), False
-    val["x"], val["n"] = args["x"], args["match"] + 1
+    if value.get("n", 0) != args["match"]:
+        return 2011, value.get("x"), False
+    value["x"], value["n"] = args["x"], args["match"] + 1
     return 1000, args["x"], True
 
 
 @commands.on("get")
-def get_value(val, args):
+def get_value(value, args):
     """The value, confirmed by a majority."""
-    return 1000, val.get("x"), False
+    return 1000, value.get("x"), False
 
 
 class Disk(MemBook):
@@ -54,16 +54,16 @@
         for raw in self.disks[name].raws:
             acceptor.adopt(orjson.loads(raw))
 
-    def proposer(self, name, life):
+    def proposer(self, name, incarnation):
         """The proposer of one life of a node."""
 
-        async def ask(addr, verb, doc):
-            if {(name, addr, verb), (name, addr, None)} & self.cut:
+        async def ask(address, verb, doc):
+            if {(name, address, verb), (name, address, None)} & self.cut:
                 return None
             doc = orjson.loads(orjson.dumps(doc))
             rest = [doc["state"]] if verb == "part.accept" else []
-            call = getattr(self.acceptors[addr], verb.removeprefix("part."))
-            return {"me": addr, **await call(doc["ballot"], *rest)}
+            call = getattr(self.acceptors[address], verb.removeprefix("part."))
+            return {"me": address, **await call(doc["ballot"], *rest)}
 
         base = {"stamp": 0, "val": {}, "voters": VOTERS, "prev": None}
         return Proposer(
@@ -75,7 +75,7 @@
             lambda *a: None,
             Counters(),
             0.05,
-            life=life,
+            incarnation=incarnation,
         )
 
 
@@ -92,7 +92,7 @@
         group.cut = {("a", "b", None)}
         again = group.proposer("a", second)
         code, value = await again.do("set", {"x": "Y", "match": 0})
-        assert (code, value) == (1000, "Y") and again.lead.life == second
+        assert (code, value) == (1000, "Y") and again.lead.incarnation == second
         group.cut = {("b", "c", None)}  # one node is lost
         assert await group.proposer("b", "3").do("get", {}) == (1000, "Y")
 
@@ -125,4 +125,4 @@
     state = {"stamp": 1, "val": {"x": 1}, "voters": VOTERS, "prev": None}
     for _ in range(2):
         assert asyncio.run(acceptor.accept((1, "a", "1"), state))["ok"]
-    assert len(acceptor.book.raws) == 1
+    assert len(acceptor.wal.raws) == 1
--- a/tests/control/test_api_requests.py
+++ b/tests/control/test_api_requests.py
@@ -41,8 +41,8 @@
 
 
 def test_beat_fields():
-    ent = decode("PUT", "/api/instances/i-1", {}, orjson.dumps(BEAT)).entry
-    assert ent["models"] == {"m": 2} and ent["slots"] == 3 and ent["state"] == "up" and ent["seq"] == 4
+    entry = decode("PUT", "/api/instances/i-1", {}, orjson.dumps(BEAT)).entry
+    assert entry["models"] == {"m": 2} and entry["slots"] == 3 and entry["state"] == "up" and entry["seq"] == 4
     assert decode("DELETE", "/api/instances/i%2F1", {}, b"").iid == "i/1"
 
 
--- a/tests/control/test_config_commands.py
+++ b/tests/control/test_config_commands.py
@@ -14,17 +14,17 @@
 from archhatch.runtime import Counters
 
 
-def put(val, number, match, timeout=7):
+def put(value, number, match, timeout=7):
     doc = {**changed(lambda d: d["RouteTable"][0].update(TimeoutMs=timeout)), "Revision": number}
-    return commands.run(val, "plan.put", {"doc": copy.deepcopy(doc), "match": match})[0]
+    return commands.run(value, "plan.put", {"doc": copy.deepcopy(doc), "match": match})[0]
 
 
 def grown(changes):
     """A register after so many changes, with the numbers 1, 2, 3, ..."""
-    val = {}
+    value = {}
     for n in range(1, changes + 1):
-        assert put(val, n, n - 1) == 1000
-    return val
+        assert put(value, n, n - 1) == 1000
+    return value
 
 
 @pytest.mark.parametrize(
@@ -39,9 +39,9 @@
     ],
 )  # its mark is gone: no clear answer, and no refusal
 def test_a_change_in_force_is_acknowledged_again_after_many_others(again, changes, code):
-    val = grown(changes)
-    assert put(val, again, again - 1) == code and val["plan"]["Revision"] == changes
-    assert len(val["taken"]) <= KEEP_TAKEN
+    value = grown(changes)
+    assert put(value, again, again - 1) == code and value["plan"]["Revision"] == changes
+    assert len(value["taken"]) <= KEEP_TAKEN
 
 
 @pytest.mark.parametrize(
@@ -53,15 +53,15 @@
 
 
 def test_a_change_refused_ahead_of_its_version_never_comes_into_force():
-    val = grown(3)
-    assert put(val, 9, 5, 1) == 2011 and put(val, 5, 3) == 1000  # the version that it named comes into force
-    assert put(val, 9, 5, 1) == 2011 and val["plan"]["Revision"] == 5  # a copy that was still on its way
-    assert put(val, 9, 5, 2) == 1000 and val["refused"] == {}  # another change on it is free
+    value = grown(3)
+    assert put(value, 9, 5, 1) == 2011 and put(value, 5, 3) == 1000  # the version that it named comes into force
+    assert put(value, 9, 5, 1) == 2011 and value["plan"]["Revision"] == 5  # a copy that was still on its way
+    assert put(value, 9, 5, 2) == 1000 and value["refused"] == {}  # another change on it is free
 
 
 def test_refusals_ahead_are_bounded_and_then_unclear():
-    val = grown(1)
-    assert [put(val, 900 + n, 800 + n) for n in range(KEEP_REFUSED + 1)] == [2011] * KEEP_REFUSED + [3004]
+    value = grown(1)
+    assert [put(value, 900 + n, 800 + n) for n in range(KEEP_REFUSED + 1)] == [2011] * KEEP_REFUSED + [3004]
 
 
 @pytest.mark.parametrize(
@@ -89,7 +89,7 @@
 def lone_proposer():
     acceptor = Acceptor("plan", MemBook(), Counters())
 
-    async def ask(addr, verb, doc):
+    async def ask(address, verb, doc):
         call = {"part.prepare": acceptor.prepare, "part.confirm": acceptor.confirm, "part.accept": acceptor.accept}[
             verb
         ]
--- a/tests/control/test_control_safety.py
+++ b/tests/control/test_control_safety.py
@@ -149,7 +149,7 @@
             assert (await acceptor.confirm((1, "a", "old")))["ok"] and not (await acceptor.confirm((9, "x", "life")))[
                 "ok"
             ]
-        assert (await getattr(acceptor, verb)(*args))["ok"] and len(acceptor.book.raws) == 2
+        assert (await getattr(acceptor, verb)(*args))["ok"] and len(acceptor.wal.raws) == 2
 
     run(go())
 
@@ -160,17 +160,19 @@
     def __init__(self, silent, joined_at):
         names = list(silent)
         self.started, self.said = 0.0, []
-        self.boot = SimpleNamespace(secs=lambda name, ratio=1.0: {"SyncS": 10.0, "ContactMs": 3.0}[name] * ratio)
+        self.settings = SimpleNamespace(
+            seconds=lambda name, ratio=1.0: {"SyncS": 10.0, "ContactMs": 3.0}[name] * ratio
+        )
         self.clock, self.log, self.quorum = HandClock(100.0), SimpleNamespace(info=lambda *a: None), Quorum(1)
         self.stores = PeerSet()
         for name, seconds in silent.items():
             self.stores.hear({"id": name, "name": name}, 100.0 - seconds)
         members = {n: {"name": n, "zone": "z", "state": "active", "no": i} for i, n in enumerate(names)}
-        self.registers = SimpleNamespace(owns=lambda part: True, known={"plan": {"val": {"stores": members}}})
+        self.registers = SimpleNamespace(owns=lambda shard: True, known={"plan": {"val": {"stores": members}}})
         self.duty = StoreMembershipController(self)
         self.duty._joined = {n: joined_at.get(n, 1.0) for n in names}
 
-    async def try_command(self, part, name, args):
+    async def try_command(self, shard, name, args):
         self.said.append((name, args["id"]))
 
 
@@ -200,14 +202,14 @@
         id="abc"[place],
         clock=clock,
         quiet_s=BOUND,
-        ctr=Counters(),
+        counters=Counters(),
         contact=MajorityContact(60.0),
-        boot=SimpleNamespace(tolerate=1, secs=lambda *a: 1.0),
+        settings=SimpleNamespace(tolerate=1, seconds=lambda *a: 1.0),
         available=lambda n: True,
     )
     registers = Registers(node)
     registers.known["plan"] = {"stamp": 4, "val": {}, "voters": VOTERS, "prev": None}
-    registers.owners = lambda part: list("abc")
+    registers.owners = lambda shard: list("abc")
     node.contact.note("c", clock.now(), {"plan": 5})
     assert not registers.overdue("plan")
     clock.at += waits
@@ -218,7 +220,7 @@
 
 def test_owners_follow_the_chosen_state_not_one_that_may_never_be():
     node = SimpleNamespace(
-        ctr=Counters(), boot=SimpleNamespace(tolerate=1, secs=lambda *a: 1.0), available=lambda n: True
+        counters=Counters(), settings=SimpleNamespace(tolerate=1, seconds=lambda *a: 1.0), available=lambda n: True
     )
     registers = Registers(node)
     registers.known["plan"] = {"stamp": 4, "val": {}, "voters": VOTERS, "prev": None}
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -86,23 +86,26 @@
         agreed_time = types.SimpleNamespace(known=False)
         self.node = types.SimpleNamespace(
             agreed_time=agreed_time,
-            clock=HandClock(), registers=registers, live=live, peers=peers, cores=cores, board=StateBoard(),
+            clock=HandClock(), registers=registers, live=live, peers=peers, cores=cores, state_board=StateBoard(),
             quiet_s=1.0,
-            regions=types.SimpleNamespace(heed=lambda words: None), leaving=False, serving=lambda: True, life="L",
-            id="core", addr="10.0.0.1:7380", ctr=Counters(), available=lambda i: True,
-            roll=types.SimpleNamespace(turn=0, since=lambda turn: []),
+            regions=types.SimpleNamespace(heed=lambda words: None), leaving=False, serving=lambda: True,
+            incarnation="L",
+            id="core", address="10.0.0.1:7380", counters=Counters(), available=lambda i: True,
+            registry=types.SimpleNamespace(turn=0, since=lambda turn: []),
         )  # fmt: skip
         self.feed = ConfigFeed(self.node)
 
-    def know(self, part, version, val):
-        self.node.registers.known[part] = {"stamp": version, "val": val}
+    def know(self, shard, version, value):
+        self.node.registers.known[shard] = {"stamp": version, "val": value}
 
     def reader(self):
-        boot = types.SimpleNamespace(ports=(7380, 7390), seeds=("10.0.0.1:1",), secs=lambda name, ratio=1.0: ratio)
-        return ConfigWatcher(boot, {"id": "e", "klass": "edge"}, None, StateBoard(), HandClock(), Counters())
+        settings = types.SimpleNamespace(
+            ports=(7380, 7390), seeds=("10.0.0.1:1",), seconds=lambda name, ratio=1.0: ratio
+        )
+        return ConfigWatcher(settings, {"id": "e", "klass": "edge"}, None, StateBoard(), HandClock(), Counters())
 
     async def bring(self, reader):
-        doc = {"live": {}, "busy": [], "who": reader.card, "stamps": reader.stamps, "life": reader.life}
+        doc = {"live": {}, "busy": [], "who": reader.card, "stamps": reader.stamps, "life": reader.incarnation}
         raw = await self.feed.answer({**doc, "turn": reader.turn, "hold": 0.0})
         reader.fold(orjson.loads(raw))
         return raw
@@ -115,19 +118,19 @@
 def test_readers_that_have_a_version_are_sent_what_changed(run):
     async def go():
         world = FeedWorld()
-        val = {"plan": {"Revision": 1, "RouteTable": rows(*[f"r{n}" for n in range(400)])}, "stores": {}}
-        world.know("plan", 1, val)
+        value = {"plan": {"Revision": 1, "RouteTable": rows(*[f"r{n}" for n in range(400)])}, "stores": {}}
+        world.know("plan", 1, value)
         early, late = world.reader(), world.reader()
         whole = await world.bring(early)
         for version in range(2, 12):
-            stores = {**val["stores"], f"s{version}": {"zone": "z"}}
-            val = {"plan": val["plan"], "stores": stores, "runs": {}, "dropped": {}, "retired": {}}
-            world.know("plan", version, val)
+            stores = {**value["stores"], f"s{version}": {"zone": "z"}}
+            value = {"plan": value["plan"], "stores": stores, "runs": {}, "dropped": {}, "retired": {}}
+            world.know("plan", version, value)
             assert len(await world.bring(early)) < len(whole) / 10
-            assert early.parts["plan"]["stores"] == stores and early.stamps["plan"] == version
+            assert early.shards["plan"]["stores"] == stores and early.stamps["plan"] == version
         await world.bring(late)
-        assert late.parts == early.parts
-        assert early.ctr.all.get("news.other_base", 0) == 0 and world.node.ctr.all["feed.changes"] == 10
+        assert late.shards == early.shards
+        assert early.counters.all.get("news.other_base", 0) == 0 and world.node.counters.all["feed.changes"] == 10
 
     run(go())
 
@@ -140,19 +143,19 @@
             world.know("p0", version, {"named": {"m": version}})
             reader = world.reader()
             if held:
-                reader.stamps["p0"], reader.parts["p0"] = held, {"named": {"other": 1}}
+                reader.stamps["p0"], reader.shards["p0"] = held, {"named": {"other": 1}}
             await world.bring(reader)
-        assert reader.parts.get("p0") == ({"named": {"m": 6}} if held < 6 else {"named": {"other": 1}})
+        assert reader.shards.get("p0") == ({"named": {"m": 6}} if held < 6 else {"named": {"other": 1}})
 
     run(go())
 
 
 def test_changes_that_stand_on_another_version_are_not_folded():
     reader = FeedWorld().reader()
-    reader.stamps["p0"], reader.parts["p0"] = 4, {"a": 1}
+    reader.stamps["p0"], reader.shards["p0"] = 4, {"a": 1}
     change = {"stamp": 6, "base": 5, "changes": [{"in": {"a": {"is": 2}}, "drop": []}]}
     doc = {"life": "L", "turn": 0, "cores": [], "busy": {}, "roll": [], "parts": {"p0": change}}
     reader.fold(doc)
-    assert (reader.stamps["p0"], reader.parts["p0"]) == (4, {"a": 1}) and reader.ctr.all["news.other_base"] == 1
+    assert (reader.stamps["p0"], reader.shards["p0"]) == (4, {"a": 1}) and reader.counters.all["news.other_base"] == 1
     reader.fold({**doc, "parts": {"p0": {**change, "base": 4}}})
-    assert (reader.stamps["p0"], reader.parts["p0"]) == (6, {"a": 2})
+    assert (reader.stamps["p0"], reader.shards["p0"]) == (6, {"a": 2})
--- a/tests/data_plane/test_at_most_once.py
+++ b/tests/data_plane/test_at_most_once.py
@@ -41,7 +41,7 @@
 
     async def start(self):
         self.listener = await asyncio.start_server(self.serve, "127.0.0.1", 0)
-        self.addr = f"127.0.0.1:{self.listener.sockets[0].getsockname()[1]}"
+        self.address = f"127.0.0.1:{self.listener.sockets[0].getsockname()[1]}"
         return self
 
     async def serve(self, reader, writer):
@@ -67,7 +67,7 @@
 class Front:
     """One lane to two replicas, the first of which is asked first, behind a web server."""
 
-    def __init__(self, kind, first, second, **lane):
+    def __init__(self, kind, first, second, **route):
         self.first, self.second = first, second
         self.plan = RoutingTable(
             {
@@ -83,7 +83,7 @@
                         "TargetLatencyMs": 20000,
                         "Service": "s",
                         "MaxAttempts": 2,
-                        **lane,
+                        **route,
                     }
                 ],
             }
@@ -91,33 +91,35 @@
         self.kind, self.counters = kind, Counters()
 
     async def start(self):
-        self.caller, self.picker, clock = UpstreamClient(), LoadBalancer("z"), Clock()
-        self.picker.fold(
+        self.upstream_client, self.load_balancer, clock = UpstreamClient(), LoadBalancer("z"), Clock()
+        self.load_balancer.fold(
             [
-                {"id": f"i{n}", "addr": r.addr, "service": "s", "zone": zone, "slots": 6, "state": "up"}
+                {"id": f"i{n}", "addr": r.address, "service": "s", "zone": zone, "slots": 6, "state": "up"}
                 for n, (r, zone) in enumerate([(self.first, "z"), (self.second, "far")])
             ]
         )
         way = Relay if self.kind == "streaming" else Forward
-        self.way = way(self.caller, self.picker, clock, self.counters, Live(StateBoard(), clock, 1.0))
+        self.way = way(self.upstream_client, self.load_balancer, clock, self.counters, Live(StateBoard(), clock, 1.0))
         self.server = web.Server(self.serve, access_log=None)
         self.site = await asyncio.get_running_loop().create_server(self.server, "127.0.0.1", 0)
         return self
 
-    async def serve(self, req):
-        out = await self.way.run(req, self.plan.lane("h", "/q/x"), list(req.headers.items()), await req.content.read())
+    async def serve(self, request):
+        out = await self.way.run(
+            request, self.plan.route("h", "/q/x"), list(request.headers.items()), await request.content.read()
+        )
         return web.Response(status=out.status, body=out.body, headers=out.head) if isinstance(out, Result) else out
 
     async def ask(self, body=b"x", deadline_ms=20000):
         heads = {"X-Archhatch-Request-Id": "r", "X-Archhatch-Deadline-Ms": str(deadline_ms)}
         url = f"http://127.0.0.1:{self.site.sockets[0].getsockname()[1]}/q/x"
-        async with aiohttp.ClientSession() as http, http.post(url, data=body, headers=heads) as resp:
-            return resp.status, await resp.read()
+        async with aiohttp.ClientSession() as http, http.post(url, data=body, headers=heads) as response:
+            return response.status, await response.read()
 
     async def end(self):
         self.site.close()
         await self.server.shutdown(0)
-        await self.caller.close()
+        await self.upstream_client.close()
         for replica in (self.first, self.second):
             replica.listener.close()
 
@@ -235,29 +237,31 @@
 )
 def test_a_kept_connection_on_which_anything_waits_is_not_used(run, trouble, seen):
     async def go():
-        loop, caller = asyncio.get_running_loop(), UpstreamClient(now=HandClock().now)
+        loop, upstream_client = asyncio.get_running_loop(), UpstreamClient(now=HandClock().now)
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
-            addr = f"127.0.0.1:{listener.getsockname()[1]}"
+            address = f"127.0.0.1:{listener.getsockname()[1]}"
 
             def send():
                 return asyncio.ensure_future(
-                    caller.send(addr, "i", "POST", "/", [("X-Archhatch-Request-Id", "r")], b"", "r", 30.0, ONCE)
+                    upstream_client.send(
+                        address, "i", "POST", "/", [("X-Archhatch-Request-Id", "r")], b"", "r", 30.0, ONCE
+                    )
                 )
 
             first = send()
             sock = await accept(loop, listener)
             sock.send(GOOD)
-            assert (await first).ran is Ran.YES and caller.kept.idle(addr)
+            assert (await first).ran is Ran.YES and upstream_client.kept.idle(address)
             trouble(sock)
             if seen:  # else the process stood still, and did not read it yet
-                while caller.kept.idle(addr):
+                while upstream_client.kept.idle(address):
                     await asyncio.sleep(0)
             again = send()
             fresh = await accept(loop, listener)
             fresh.send(GOOD)
             assert (await again).ran is Ran.YES
-            await caller.close()
+            await upstream_client.close()
             sock.close()
             fresh.close()
 
@@ -266,11 +270,11 @@
 
 def test_what_may_no_longer_be_sent_is_not_written(run):
     async def go():
-        replica, caller, may = await Bare().start(), UpstreamClient(), []
+        replica, upstream_client, may = await Bare().start(), UpstreamClient(), []
 
         async def send(allowed):
-            return await caller.send(
-                replica.addr,
+            return await upstream_client.send(
+                replica.address,
                 "i",
                 "POST",
                 "/",
@@ -286,7 +290,7 @@
             answer = await send(allowed)
             assert answer.ran is (Ran.YES if allowed else Ran.NO) and not answer.silent
         assert replica.ran == 2 and may == [False, True, False, True]
-        await caller.close()
+        await upstream_client.close()
         replica.listener.close()
 
     run(go())
--- a/tests/data_plane/test_hedging.py
+++ b/tests/data_plane/test_hedging.py
@@ -30,16 +30,16 @@
     def __init__(self, answers):
         self.answers, self.sent, self.ended, self.gate = list(answers), [], [], asyncio.Event()
 
-    async def send(self, addr, iid, method, target, heads, body, rid, secs, mode="", may_send=None):
+    async def send(self, address, iid, method, target, heads, body, rid, timeout_s, mode="", may_send=None):
         self.sent.append((iid, mode))
-        ans = self.answers.pop(0) if self.answers else OUT
+        answer = self.answers.pop(0) if self.answers else OUT
         try:
-            if ans is OUT:
+            if answer is OUT:
                 await self.gate.wait()
-                ans = GOOD
+                answer = GOOD
         finally:
             self.ended.append(iid)
-        return ans
+        return answer
 
 
 class Req:
@@ -66,14 +66,21 @@
             ],
         }
     )
-    picker, clock, caller, ctr = LoadBalancer("z", "e", widen=0.5), StepClock(), FakeCaller(answers), Counters()
-    picker.fold(
+    load_balancer, clock, upstream_client, counters = (
+        LoadBalancer("z", "e", widen=0.5),
+        StepClock(),
+        FakeCaller(answers),
+        Counters(),
+    )
+    load_balancer.fold(
         [
             {"id": f"i{n}", "addr": f"a{n}:1", "service": "s", "zone": "z", "slots": 6, "state": "up"}
             for n in range(replicas)
         ]
     )
-    return Forward(caller, picker, clock, ctr, Live(StateBoard(), HandClock(), 1.0)), plan.lane("h", "/q/x")
+    return Forward(upstream_client, load_balancer, clock, counters, Live(StateBoard(), HandClock(), 1.0)), plan.route(
+        "h", "/q/x"
+    )
 
 
 CASES = [  # kind, most sends, answers by turn, status, sends, of them early
@@ -95,12 +102,12 @@
 @pytest.mark.parametrize("kind, most, answers, status, sends, early", CASES)
 def test_sends_of_one_try(run, kind, most, answers, status, sends, early):
     async def go():
-        fwd, lane = setup(answers, kind, most)
-        res = await fwd.run(Req, lane, list(Req.headers.items()), b"")
+        fwd, route = setup(answers, kind, most)
+        res = await fwd.run(Req, route, list(Req.headers.items()), b"")
         assert res.status == status
-        assert len(fwd.caller.sent) == len({i for i, _ in fwd.caller.sent}) == sends <= most
-        assert fwd.ctr.all.get("send.early", 0) == early
-        assert {m for _, m in fwd.caller.sent} == {"again" if kind == "idempotent" else "once"}
+        assert len(fwd.upstream_client.sent) == len({i for i, _ in fwd.upstream_client.sent}) == sends <= most
+        assert fwd.counters.all.get("send.early", 0) == early
+        assert {m for _, m in fwd.upstream_client.sent} == {"again" if kind == "idempotent" else "once"}
 
     run(go())
 
@@ -110,9 +117,9 @@
 )
 def test_an_early_send_goes_to_a_well_replica_or_nowhere(run, others, sends):
     async def go():
-        fwd, lane = setup([OUT, GOOD], replicas=3)
-        first = fwd.picker.pick("s", set(), 100.0)
-        for t in fwd.picker.all.values():
+        fwd, route = setup([OUT, GOOD], replicas=3)
+        first = fwd.load_balancer.pick("s", set(), 100.0)
+        for t in fwd.load_balancer.all.values():
             if t is first:
                 continue
             if others == "full":
@@ -122,9 +129,9 @@
             if others == "slow":
                 t.pace, t.pace_at = 5.0, 100.0
             for _ in range({"resting": 1, "doubtful": 1}.get(others, 0)):
-                fwd.picker.note(t, "vanished" if others == "resting" else "faulted", 100.0)
-        await fwd.run(Req, lane, list(Req.headers.items()), b"")
-        assert [i for i, _ in fwd.caller.sent][:1] == [first.iid] and len(fwd.caller.sent) == sends
+                fwd.load_balancer.note(t, "vanished" if others == "resting" else "faulted", 100.0)
+        await fwd.run(Req, route, list(Req.headers.items()), b"")
+        assert [i for i, _ in fwd.upstream_client.sent][:1] == [first.iid] and len(fwd.upstream_client.sent) == sends
 
     run(go())
 
@@ -139,13 +146,13 @@
 
 def test_the_slower_one_keeps_its_connection_and_is_judged_by_its_answer(run):
     async def go():
-        fwd, lane = setup([OUT, GOOD])
-        assert (await fwd.run(Req, lane, list(Req.headers.items()), b"")).status == 200
-        slow = fwd.picker.all[fwd.caller.sent[0][0]]
-        assert slow.under_way == 1 and len(fwd.outlived) == 1 and slow.iid not in fwd.caller.ended
-        fwd.caller.gate.set()
+        fwd, route = setup([OUT, GOOD])
+        assert (await fwd.run(Req, route, list(Req.headers.items()), b"")).status == 200
+        slow = fwd.load_balancer.all[fwd.upstream_client.sent[0][0]]
+        assert slow.under_way == 1 and len(fwd.outlived) == 1 and slow.iid not in fwd.upstream_client.ended
+        fwd.upstream_client.gate.set()
         await asyncio.gather(*fwd.outlived)
-        assert slow.under_way == 0 and slow.pace > 0 and slow.fitness.state == "fit" and slow.fitness.good == 1.0
+        assert slow.under_way == 0 and slow.pace > 0 and slow.health.state == "fit" and slow.health.good == 1.0
         await asyncio.sleep(0)
         assert not fwd.outlived
 
@@ -154,10 +161,10 @@
 
 def test_when_the_time_is_over_all_is_broken_off(run):
     async def go():
-        fwd, lane = setup([OUT, OUT, OUT])
-        assert (await fwd.run(Req, lane, list(Req.headers.items()), b"")).status == 504
-        assert {t.under_way for t in fwd.picker.all.values()} == {0} and not fwd.outlived
-        states = [fwd.picker.all[i].fitness.state for i, _ in fwd.caller.sent]
+        fwd, route = setup([OUT, OUT, OUT])
+        assert (await fwd.run(Req, route, list(Req.headers.items()), b"")).status == 504
+        assert {t.under_way for t in fwd.load_balancer.all.values()} == {0} and not fwd.outlived
+        states = [fwd.load_balancer.all[i].health.state for i, _ in fwd.upstream_client.sent]
         assert states[0] == "doubtful"
 
     run(go())
--- a/tests/data_plane/test_job_handlers.py
+++ b/tests/data_plane/test_job_handlers.py
@@ -8,7 +8,7 @@
 import pytest
 from tests.support.fakes import HandClock
 from tests.jobs.test_batch_job import LOT
-from tests.jobs.test_quorum import settings
+from tests.jobs.test_quorum import quorum_settings
 
 from archhatch.runtime import Counters
 from archhatch.rpc import CallError
@@ -26,15 +26,16 @@
 
     def __init__(self, *answers):
         self.clock, self.answers, self.calls = HandClock(), list(answers), []
-        news = SimpleNamespace(
-            parts={"plan": {"stores": STORES}, "p0": {"tenures": {"s": LEASE}}}, plan=SimpleNamespace(models=lambda: {})
+        config_watcher = SimpleNamespace(
+            shards={"plan": {"stores": STORES}, "p0": {"tenures": {"s": LEASE}}},
+            plan=SimpleNamespace(models=lambda: {}),
         )
-        self.desk = JobHandlers(settings(Machines=0), news, self, Counters(), self.clock)
+        self.desk = JobHandlers(quorum_settings(Machines=0), config_watcher, self, Counters(), self.clock)
 
-    def to(self, addr):
+    def to(self, address):
         return self
 
-    async def call(self, verb, doc, body=b"", secs=1.0):
+    async def call(self, verb, doc, body=b"", timeout_s=1.0):
         self.calls.append((verb, doc))
         self.clock.at += 1.0
         answer = self.answers[0] if len(self.answers) == 1 else self.answers.pop(0)
@@ -43,10 +44,10 @@
         code, out = answer
         return code, out, b"page"
 
-    async def hand_in(self, lid="l"):
-        req = SimpleNamespace(headers={ECHO: lid, "Host": "h"}, raw_path="/p/")
-        lane = SimpleNamespace(split=[("s", 1)])
-        return (await self.desk.hand_in(req, lane, orjson.dumps(LOT))).status
+    async def hand_in(self, job_id="l"):
+        request = SimpleNamespace(headers={ECHO: job_id, "Host": "h"}, raw_path="/p/")
+        route = SimpleNamespace(split=[("s", 1)])
+        return (await self.desk.hand_in(request, route, orjson.dumps(LOT))).status
 
 
 HAND_INS = [  # what the holder answers, in turn -> the status of the hand-in
@@ -72,15 +73,15 @@
     assert all((doc["to"], doc["term"]) == ("s0", 4) for _, doc in edge.calls)
 
 
-@pytest.mark.parametrize("first, lid, status", [(LOST, "l", 504), (LOST, "other", 503), (UNSENT, "l", 503)])
-def test_a_later_try_does_not_promise_for_an_earlier_one(run, first, lid, status):
+@pytest.mark.parametrize("first, job_id, status", [(LOST, "l", 504), (LOST, "other", 503), (UNSENT, "l", 503)])
+def test_a_later_try_does_not_promise_for_an_earlier_one(run, first, job_id, status):
     async def go():
         edge = Edge(first)
         await edge.hand_in("l")
         edge.answers = [(3005, None)]
-        assert await edge.hand_in(lid) == status
+        assert await edge.hand_in(job_id) == status
         edge.answers = [(1000, MINE)]
-        assert await edge.hand_in(lid) == 202 and lid not in edge.desk.unclear
+        assert await edge.hand_in(job_id) == 202 and job_id not in edge.desk.unclear
 
     run(go())
 
@@ -107,10 +108,10 @@
 def test_only_the_holder_that_was_asked_is_believed(run, answer, status, counted):
     edge = Edge(answer)
 
-    async def nowhere(lid):
+    async def nowhere(job_id):
         return True
 
     edge.desk._nowhere = nowhere
     result = run(asyncio.wait_for(edge.desk._ask("lot.read", {"lot": "l", "after": 0, "hold": 0.0}, 0.0), 5))
-    assert result.status == status and edge.desk.ctr.all["lot.other_life"] == counted
+    assert result.status == status and edge.desk.counters.all["lot.other_life"] == counted
     assert edge.calls[0][1]["to"] == "s0"
--- a/tests/data_plane/test_store_proxies.py
+++ b/tests/data_plane/test_store_proxies.py
@@ -25,9 +25,9 @@
     def __init__(self, *answers):
         self.answers, self.calls = list(answers), []
 
-    def to(self, addr):
-        async def call(verb, doc, body, secs):
-            self.calls.append((addr, verb, doc, body))
+    def to(self, address):
+        async def call(verb, doc, body, timeout_s):
+            self.calls.append((address, verb, doc, body))
             out = self.answers.pop(0)
             if isinstance(out, Exception):
                 raise out
@@ -37,9 +37,9 @@
 
 
 def proxies(stores, tenures=None, lines=None):
-    parts = {"plan": {"stores": stores}, "p0": {"tenures": tenures or {}}}
-    news = types.SimpleNamespace(parts=parts)
-    return StoreProxies(news, lines or Lines(), 7381, "z1", 1.0, Counters())
+    shards = {"plan": {"stores": stores}, "p0": {"tenures": tenures or {}}}
+    config_watcher = types.SimpleNamespace(shards=shards)
+    return StoreProxies(config_watcher, lines or Lines(), 7381, "z1", 1.0, Counters())
 
 
 CHOICES = [  # stores, holders, whether one is chosen
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("stores, holders, chosen", CHOICES)
 def test_the_store_that_is_asked(stores, holders, chosen):
     got = proxies(stores, {f"r{n}": {"holder": h} for n, h in enumerate(holders)}).choose("s", 0.0)
-    assert (got.sid if got else None) == chosen and (got is None or got.addr == f"{stores[chosen]['ip']}:7381")
+    assert (got.sid if got else None) == chosen and (got is None or got.address == f"{stores[chosen]['ip']}:7381")
 
 
 def test_all_edges_of_a_zone_ask_the_same_store():
@@ -92,16 +92,16 @@
     async def go():
         lines = Lines(outcome)
         p = proxies({"a": member("z1")}, lines=lines)
-        ans = await p.send(p.choose("s", 5.0), {"x": 1}, b"body", 1.0, lambda: 5.0)
-        assert ans.ran is ran and lines.calls == [("10.0.0.1:7381", "request.send", {"to": "a", "x": 1}, b"body")]
+        answer = await p.send(p.choose("s", 5.0), {"x": 1}, b"body", 1.0, lambda: 5.0)
+        assert answer.ran is ran and lines.calls == [("10.0.0.1:7381", "request.send", {"to": "a", "x": 1}, b"body")]
         assert (p.choose("s", 5.5) is None) is rests and p.choose("s", 6.1) is not None
 
     run(go())
 
 
 class FakeProxies:
-    def __init__(self, ans, rare=True):
-        self.ans, self.is_rare, self.sent = ans, rare, []
+    def __init__(self, answer, rare=True):
+        self.answer, self.is_rare, self.sent = answer, rare, []
 
     def rare(self, service, now):
         return self.is_rare
@@ -109,9 +109,9 @@
     def choose(self, service, now):
         return Proxy("a", "10.0.0.1:7381")
 
-    async def send(self, proxy, doc, body, secs, now):
+    async def send(self, proxy, doc, body, timeout_s, now):
         self.sent.append(doc)
-        return self.ans
+        return self.answer
 
 
 SENT = [  # kind, rare, warm, answer by the store, sends of its own, status
@@ -126,15 +126,15 @@
 ]
 
 
-@pytest.mark.parametrize("kind, rare, warm, ans, own, status", SENT)
-def test_a_request_by_a_store(run, kind, rare, warm, ans, own, status):
+@pytest.mark.parametrize("kind, rare, warm, answer, own, status", SENT)
+def test_a_request_by_a_store(run, kind, rare, warm, answer, own, status):
     async def go():
-        fwd, lane = setup([GOOD, GOOD], kind)
-        fwd.proxies = FakeProxies(ans, rare)
-        fwd.caller.idle = lambda addr: warm
-        res = await fwd.run(Req, lane, list(Req.headers.items()), b"")
-        assert res.status == status and len(fwd.caller.sent) == own
-        assert {t.under_way for t in fwd.picker.all.values()} == {0}
+        fwd, route = setup([GOOD, GOOD], kind)
+        fwd.proxies = FakeProxies(answer, rare)
+        fwd.upstream_client.idle = lambda address: warm
+        res = await fwd.run(Req, route, list(Req.headers.items()), b"")
+        assert res.status == status and len(fwd.upstream_client.sent) == own
+        assert {t.under_way for t in fwd.load_balancer.all.values()} == {0}
         for doc in fwd.proxies.sent:
             assert (doc["rid"], doc["method"], doc["target"]) == ("r", "POST", "/q/x") and doc["secs"] > 0
             assert ("X-Archhatch-Deadline-Ms", "200") in doc["heads"]
@@ -144,33 +144,33 @@
 
 def test_one_try_is_never_on_more_replicas_than_it_may(run):
     async def go():
-        fwd, lane = setup([Answer(Ran.NO, 503)] * 9, sends=3)
+        fwd, route = setup([Answer(Ran.NO, 503)] * 9, sends=3)
         fwd.proxies = FakeProxies(Answer(Ran.NO, 503))
-        fwd.caller.idle = lambda addr: False
-        assert (await fwd.run(Req, lane, list(Req.headers.items()), b"")).status == 503
-        assert len(fwd.proxies.sent) + len(fwd.caller.sent) == 3
+        fwd.upstream_client.idle = lambda address: False
+        assert (await fwd.run(Req, route, list(Req.headers.items()), b"")).status == 503
+        assert len(fwd.proxies.sent) + len(fwd.upstream_client.sent) == 3
 
     run(go())
 
 
 def test_heads_that_no_document_can_carry_go_directly(run):
     async def go():
-        fwd, lane = setup([GOOD])
+        fwd, route = setup([GOOD])
         fwd.proxies = FakeProxies(GOOD)
-        fwd.caller.idle = lambda addr: False
+        fwd.upstream_client.idle = lambda address: False
 
         class Odd(Req):
             headers = {**Req.headers, "X-Name": "\udce9"}
 
-        assert (await fwd.run(Odd, lane, list(Odd.headers.items()), b"")).status == 200 and not fwd.proxies.sent
+        assert (await fwd.run(Odd, route, list(Odd.headers.items()), b"")).status == 200 and not fwd.proxies.sent
 
     run(go())
 
 
 def store(answers=(GOOD,), leaving=False, kind="idempotent", replicas=2):
     row = {"Name": "r", "HostName": "h", "PathPrefix": "/q/", "RouteClass": kind, "Service": "s"}
-    picker, sent = LoadBalancer("z1"), []
-    picker.fold(
+    load_balancer, sent = LoadBalancer("z1"), []
+    load_balancer.fold(
         [
             {"id": f"i{n}", "addr": f"a{n}:1", "service": "s", "zone": "z1", "slots": 2, "state": "up"}
             for n in range(replicas)
@@ -178,16 +178,22 @@
     )
     answers = list(answers)
 
-    async def send(addr, iid, method, target, heads, body, rid, secs, mode, may_send):
+    async def send(address, iid, method, target, heads, body, rid, timeout_s, mode, may_send):
         sent.append((iid, method, target, heads, body, rid, mode, may_send()))
-        assert picker.all[iid].under_way == 1
+        assert load_balancer.all[iid].under_way == 1
         return answers.pop(0)
 
     plan = RoutingTable({"Revision": 1, "RouteTable": [row], "ServiceTable": [{"Name": "s"}]})
-    board = types.SimpleNamespace(touch=lambda name: None)
-    caller = types.SimpleNamespace(send=send)
+    state_board = types.SimpleNamespace(touch=lambda name: None)
+    upstream_client = types.SimpleNamespace(send=send)
     st = types.SimpleNamespace(
-        plan=plan, picker=picker, caller=caller, clock=HandClock(), leaving=leaving, ctr=Counters(), board=board
+        plan=plan,
+        load_balancer=load_balancer,
+        upstream_client=upstream_client,
+        clock=HandClock(),
+        leaving=leaving,
+        counters=Counters(),
+        state_board=state_board,
     )
     return RequestProxy(st), sent
 
@@ -227,7 +233,7 @@
         doc, body = await proxy.send({**ASK, **change}, b"body")
         assert (doc["ran"], doc["status"], body) == ("yes", 200, b"ok")
         assert sent[0][1:] == ("POST", "/q/x?y=1", [("X-A", "1")], b"body", "r1", "again", True)
-        assert {t.under_way for t in proxy.st.picker.all.values()} == {0}
+        assert {t.under_way for t in proxy.store.load_balancer.all.values()} == {0}
 
     run(go())
 
@@ -235,7 +241,7 @@
 def test_a_store_that_knows_no_configuration_sends_nothing(run):
     async def go():
         proxy, sent = store()
-        proxy.st.plan = None
+        proxy.store.plan = None
         with pytest.raises(Refusal) as e:
             await proxy.send(ASK, b"")
         assert e.value.code == 3004 and not sent
@@ -245,7 +251,7 @@
 
 def test_a_client_that_leaves_ends_what_a_store_was_asked_for(run):
     async def go():
-        fwd, lane = setup([])
+        fwd, route = setup([])
         gate = asyncio.Event()
 
         class Waits(FakeProxies):
@@ -254,20 +260,20 @@
                 await gate.wait()
 
         fwd.proxies = Waits(None)
-        fwd.caller.idle = lambda addr: False
-        task = asyncio.ensure_future(fwd.run(Req, lane, list(Req.headers.items()), b""))
+        fwd.upstream_client.idle = lambda address: False
+        task = asyncio.ensure_future(fwd.run(Req, route, list(Req.headers.items()), b""))
         while not fwd.proxies.sent:
             await asyncio.sleep(0)
         task.cancel()
         await asyncio.wait([task])
-        assert task.cancelled() and not fwd.caller.sent and not fwd.outlived
+        assert task.cancelled() and not fwd.upstream_client.sent and not fwd.outlived
 
     run(go())
 
 
 def test_a_store_that_stands_still_costs_one_early_send_and_then_rests(run):
     async def go():
-        fwd, lane = setup([GOOD])
+        fwd, route = setup([GOOD])
         gate, rested = asyncio.Event(), []
 
         class StandsStill(FakeProxies):
@@ -280,9 +286,9 @@
                 rested.append(proxy.sid)
 
         fwd.proxies = StandsStill(None)
-        fwd.caller.idle = lambda addr: False
-        assert (await fwd.run(Req, lane, list(Req.headers.items()), b"")).status == 200
-        assert rested == ["a"] and len(fwd.proxies.sent) == 1 and len(fwd.caller.sent) == 1
+        fwd.upstream_client.idle = lambda address: False
+        assert (await fwd.run(Req, route, list(Req.headers.items()), b"")).status == 200
+        assert rested == ["a"] and len(fwd.proxies.sent) == 1 and len(fwd.upstream_client.sent) == 1
         gate.set()
         await asyncio.gather(*fwd.outlived)
 
--- a/tests/diagnostics/test_doctor.py
+++ b/tests/diagnostics/test_doctor.py
@@ -28,7 +28,7 @@
 
 
 def codes(run, path):
-    return [f.code for f in run(Doctor(path, secs=0.5).run())]
+    return [f.code for f in run(Doctor(path, timeout_s=0.5).run())]
 
 
 @pytest.mark.parametrize(
@@ -67,18 +67,20 @@
         w = await World(str(tmp_path), stores=1).start()
         try:
             await w.put_plan(plan(), 0)
-            await w.until(w.edge.board, "parts", lambda: w.edge.state == "ready")
+            await w.until(w.edge.state_board, "parts", lambda: w.edge.state == "ready")
             path = settings(tmp_path, SeedPeers=w.seeds, InternalPorts=[w.base, w.base + 5])
             for c in w.cores.values():
-                await w.until(c.board, "news", lambda c=c: c.known.keys() == w.cores[1].known.keys() and c.serving())
+                await w.until(
+                    c.state_board, "news", lambda c=c: c.known.keys() == w.cores[1].known.keys() and c.serving()
+                )
             assert [f for f in await Doctor(path).run() if f.code not in (6010,)] == []
             await w.kill(w.cores.pop(3))
             await w.kill(w.cores.pop(2))
             core = w.cores[1]
-            await w.until(core.board, "news", lambda: not core.in_touch())
-            core.roll.beat({"id": "i-1", "seq": 1, "state": "up"}, core.clock.now() - 60)
-            core.roll.sweep(core.clock.now(), 3.0)
-            found = await Doctor(path, secs=0.5).run()
+            await w.until(core.state_board, "news", lambda: not core.in_touch())
+            core.registry.beat({"id": "i-1", "seq": 1, "state": "up"}, core.clock.now() - 60)
+            core.registry.sweep(core.clock.now(), 3.0)
+            found = await Doctor(path, timeout_s=0.5).run()
             assert sorted({f.code for f in found} - {6010}) == [6004, 6005, 6009]
         finally:
             await w.end()
--- a/tests/diagnostics/test_importer.py
+++ b/tests/diagnostics/test_importer.py
@@ -41,9 +41,9 @@
     doc, notes = Importer(path).read(4)
     plan = RoutingTable(doc)
     assert doc["Revision"] == 4 and plan.limits == {"MaxBodyBytes": 2 << 20} and len(doc["RouteTable"]) == 4
-    lane = plan.lane("b.example", "/q/1")
-    assert (lane.kind, lane.timeout_s, lane.sends, lane.split) == ("idempotent", 1.5, 3, (("quotes", 1.0),))
-    assert plan.lane("a.example", "/s/x").kind == "non_idempotent" and plan.lane("a.example", "/r/x") is None
+    route = plan.route("b.example", "/q/1")
+    assert (route.kind, route.timeout_s, route.sends, route.split) == ("idempotent", 1.5, 3, (("quotes", 1.0),))
+    assert plan.route("a.example", "/s/x").kind == "non_idempotent" and plan.route("a.example", "/r/x") is None
     lines = {int(n.split(":")[1]) for n in notes}
     assert lines == {5, 6, 7, 10, 13, 14, 15, 16, 17} and all(n.startswith(path) for n in notes)
 
--- a/tests/evacuation/test_commands.py
+++ b/tests/evacuation/test_commands.py
@@ -32,7 +32,7 @@
 PLAN = {"Id": "e1", "Tenant": "yards", "Origin": "a", "Target": "b", "NoticeUrl": "http://10.0.0.1:80/n"}
 
 
-def value():
+def register_value():
     doc = read_policy(POLICY)
     return {"policy": {**doc, "zones": {"z1": "a", "z2": "b", "z3": "c"}}, "runs": {"llm": 2}}
 
@@ -40,27 +40,27 @@
 class Register:
     """A register's value with its commands, as the agreement runs them."""
 
-    def __init__(self, val=None):
-        self.val = val or value()
+    def __init__(self, value=None):
+        self.value = value or register_value()
 
     def do(self, name, **args):
-        code, doc, changed, self.val = commands.run_apart(self.val, name, args)
+        code, doc, changed, self.value = commands.run_apart(self.value, name, args)
         return code, doc, changed
 
     def plan(self, **change):
         return self.do("evacuation.plan", plan=read_plan({**PLAN, **change}))
 
     def step(self, to, term=1, **args):
-        record = self.val["evacuations"]["e1"]
+        record = self.value["evacuations"]["e1"]
         seen = {"from": record["state"], "placed": record["placed"]}
         args = {"id": "e1", "term": term, **seen, "to": to, "why": "", "age_s": 0.0, **args}
         return self.do("evacuation.step", **args)
 
     def state(self):
-        return self.val["evacuations"]["e1"]["state"]
+        return self.value["evacuations"]["e1"]["state"]
 
-    def claim(self, seen=0, holder="n", life="l"):
-        return self.do("lease.claim", duty="evacuation", holder=holder, life=life, seen=seen)
+    def claim(self, seen=0, holder="n", incarnation="l"):
+        return self.do("lease.claim", duty="evacuation", holder=holder, life=incarnation, seen=seen)
 
     def to(self, state):
         """A record in a state, driven there in order."""
@@ -88,13 +88,13 @@
 ]
 
 
-@pytest.mark.parametrize("change, val, code", REFUSED)
-def test_plans_are_taken_or_refused(change, val, code):
-    register = Register({k: v for k, v in {**value(), **val}.items() if v is not None})
-    before = copy.deepcopy(register.val)
+@pytest.mark.parametrize("change, value, code", REFUSED)
+def test_plans_are_taken_or_refused(change, value, code):
+    register = Register({k: v for k, v in {**register_value(), **value}.items() if v is not None})
+    before = copy.deepcopy(register.value)
     got, _, changed = register.plan(**change)
     assert got == code and changed is (code == 1000)
-    assert code == 1000 or register.val == before
+    assert code == 1000 or register.value == before
 
 
 def test_the_same_plan_again_is_the_same_and_another_under_its_id_is_refused():
@@ -104,16 +104,16 @@
     assert register.plan(Reason="other")[0] == 2208
     assert register.plan(Id="e2")[0] == 2205  # it moves the same rules
     assert register.plan(Id="e2", Tenant="mills")[0] == 1000
-    before = copy.deepcopy(register.val)
+    before = copy.deepcopy(register.value)
     args = {"plan": read_plan({**PLAN, "Id": "e3", "Tenant": "mills"}), "dry_run": True}
-    assert register.do("evacuation.plan", **args)[0] == 2205 and register.val == before
+    assert register.do("evacuation.plan", **args)[0] == 2205 and register.value == before
 
 
 def test_a_dry_run_changes_nothing():
     register = Register()
     code, doc, changed = register.do("evacuation.plan", plan=read_plan(PLAN), dry_run=True)
     assert (code, changed) == (1000, False) and doc["RuleList"] == ["quotes", "rollouts"]
-    assert "evacuations" not in register.val
+    assert "evacuations" not in register.value
 
 
 BAD_PLANS = [
@@ -171,8 +171,8 @@
     assert register.state() == state
     assert register.do(f"evacuation.{order}", id="e1", why="w")[0] == code and register.state() == after
     if code == 1000:  # sent again it is acknowledged again, and does no more
-        before = copy.deepcopy(register.val)
-        assert register.do(f"evacuation.{order}", id="e1", why="w")[0] == 1000 and register.val == before
+        before = copy.deepcopy(register.value)
+        assert register.do(f"evacuation.{order}", id="e1", why="w")[0] == 1000 and register.value == before
 
 
 @pytest.mark.parametrize("order", ["start", "cancel", "return", "get"])
@@ -183,9 +183,9 @@
 def test_a_move_that_is_cancelled_goes_home_and_is_cancelled():
     register = Register().to("moving")
     register.do("evacuation.cancel", id="e1", why="")
-    assert register.val["evacuations"]["e1"]["placed"] == "target"  # until the copies are back
-    assert register.step("returning")[0] == 1000 and register.val["evacuations"]["e1"]["placed"] == "origin"
-    assert register.step("cancelled")[0] == 1000 and "evacuations" not in news_view("plan", register.val)
+    assert register.value["evacuations"]["e1"]["placed"] == "target"  # until the copies are back
+    assert register.step("returning")[0] == 1000 and register.value["evacuations"]["e1"]["placed"] == "origin"
+    assert register.step("cancelled")[0] == 1000 and "evacuations" not in news_view("plan", register.value)
 
 
 FENCES = [  # term of the step, state it saw, wanted state, code
@@ -223,9 +223,9 @@
     register = Register().to("preparing")
     assert report(register, run_term=1) == 2018 and report(register, state="moving") == 2206
     assert report(register) == 1000
-    assert register.val["evacuations"]["e1"]["reports"]["llm"] == {"term": 2, "copied": True, "drained": False}
+    assert register.value["evacuations"]["e1"]["reports"]["llm"] == {"term": 2, "copied": True, "drained": False}
     register.step("moving")
-    assert register.val["evacuations"]["e1"]["reports"] == {}  # said of another place
+    assert register.value["evacuations"]["e1"]["reports"] == {}  # said of another place
     assert report(register) == 2206
 
 
@@ -234,7 +234,9 @@
     for n in range(KEEP_FINAL + 5):
         assert register.plan(Id=f"e{n}")[0] == 1000
         register.do("evacuation.cancel", id=f"e{n}", why="")
-    assert len(register.val["evacuations"]) <= KEEP_FINAL + 1 and f"e{KEEP_FINAL + 4}" in register.val["evacuations"]
+    assert (
+        len(register.value["evacuations"]) <= KEEP_FINAL + 1 and f"e{KEEP_FINAL + 4}" in register.value["evacuations"]
+    )
 
 
 class Route:
@@ -254,12 +256,12 @@
 
 @pytest.mark.parametrize("state, placed, out, order", PLACES)
 def test_where_requests_go(state, placed, out, order):
-    val = value()
-    val["evacuations"] = {"e1": {"rules": ["quotes"], "origin": "a", "target": "b", "state": state, "placed": placed}}
+    value = register_value()
+    value["evacuations"] = {"e1": {"rules": ["quotes"], "origin": "a", "target": "b", "state": state, "placed": placed}}
     if out:
-        val["regions"] = {out: {"epoch": 1, "out": {"*": {}}}}
+        value["regions"] = {out: {"epoch": 1, "out": {"*": {}}}}
     placement = Placement()
-    placement.fold(news_view("plan", val))
+    placement.fold(news_view("plan", value))
     assert (
         placement.order(Route) == order and placement.zones(Route) == {"a": {"z1"}, "b": {"z2"}, "c": {"z3"}}[order[0]]
     )
@@ -296,7 +298,7 @@
             report(register, run_term=rng.randrange(4), state=rng.choice(list(EvacuationState)))
         else:
             register.do(f"evacuation.{kind}", id="e1", why="")
-        record = register.val["evacuations"]["e1"]
+        record = register.value["evacuations"]["e1"]
         now = (record["state"], record["placed"])
         if now != seen[-1]:
             assert seen[-1][0] not in FINAL
@@ -309,7 +311,7 @@
     assert register.do("evacuation.age", id="e1", term=1, age_s=30.0)[0] == 1000
     assert register.do("evacuation.age", id="e1", term=1, age_s=20.0)[0] == 1000
     assert register.do("evacuation.age", id="e1", term=2, age_s=90.0)[0] == 2018
-    assert register.val["evacuations"]["e1"]["age_s"] == 30.0
+    assert register.value["evacuations"]["e1"]["age_s"] == 30.0
     assert register.step("moving", age_s=31.0)[1]["Log"][-1]["AgeS"] == 31.0
 
 
@@ -327,7 +329,7 @@
     register = Register().to("announced")
     for word in words:
         assert register.do("evacuation.notice", id="e1", term=1, kind="move", word=word)[0] == 1000
-    assert register.val["evacuations"]["e1"]["notices"] == {"move": last}
-    before = copy.deepcopy(register.val)
+    assert register.value["evacuations"]["e1"]["notices"] == {"move": last}
+    before = copy.deepcopy(register.value)
     assert register.do("evacuation.notice", id="e1", term=1, kind="move", word=last)[2] is False
-    assert register.val == before
+    assert register.value == before
--- a/tests/evacuation/test_evacuation_system.py
+++ b/tests/evacuation/test_evacuation_system.py
@@ -18,11 +18,11 @@
     """Replicas note when they took requests up."""
     serve = RegionReplica.serve
 
-    async def noting(self, req):
+    async def noting(self, request):
         times = self.__dict__.setdefault("times", [])
-        if not req.raw_path.startswith("/api/"):
+        if not request.raw_path.startswith("/api/"):
             times.append(time.monotonic())
-        return await serve(self, req)
+        return await serve(self, request)
 
     monkeypatch.setattr(RegionReplica, "serve", noting)
     monkeypatch.setattr(RegionReplica, "times", (), raising=False)
@@ -57,10 +57,10 @@
         assert (await w.planned())[0] == 200 and not w.tenant.notices
         if killed_in == "announced":
             w.tenant.mood = "refusing"
-        held = [asyncio.ensure_future(w.one("n", "cut", "held", 1)), asyncio.ensure_future(w.lots("cut", "held"))]
+        held = [asyncio.ensure_future(w.one("n", "cut", "held", 1)), asyncio.ensure_future(w.batch_jobs("cut", "held"))]
         held.append(asyncio.ensure_future(w.one("s", "cut", "held", 0)))
         at_work = {"n", "s", "roll"}
-        await w.until(w.edge.board, "nothing", lambda: at_work <= kinds_at_work(w, "attica"))
+        await w.until(w.edge.state_board, "nothing", lambda: at_work <= kinds_at_work(w, "attica"))
         assert (await w.evacuate("/e1/start"))[0] == 200
         await w.load_until("moving", move(w, killed_in))
         assert w.regions_of("before") == {"attica"}
@@ -100,7 +100,7 @@
 async def move(w, killed_in):
     if killed_in == "announced":
         await w.reach("announced")
-        await w.until(w.edge.board, "nothing", lambda: w.tenant.notices)
+        await w.until(w.edge.state_board, "nothing", lambda: w.tenant.notices)
         await w.kill_holder()
         w.tenant.mood = "well"
     if killed_in == "preparing":
@@ -110,7 +110,9 @@
     if killed_in == "moving":
         await w.kill_holder()
     await w.all_place("thessaly")
-    await w.until(w.edge.board, "nothing", lambda: any(runs_of(w, "thessaly", "cut.lot.held")))  # recalled, not ended
+    await w.until(
+        w.edge.state_board, "nothing", lambda: any(runs_of(w, "thessaly", "cut.lot.held"))
+    )  # recalled, not ended
     for r in w.replicas:
         r.hold.set()  # what is held in attica gives its next event, or ends
     await w.reach("moved")
@@ -251,14 +253,14 @@
         try:
             assert (await w.put_policy(TWO_TENANTS, 1))[0] == 200
             for node in w.nodes():
-                await w.until(node.board, "parts", lambda n=node: n.placement.policy.version == 2)
+                await w.until(node.state_board, "parts", lambda n=node: n.placement.policy.version == 2)
             mills = {"Id": "e2", "Tenant": "mills", "Origin": "thessaly", "Target": "attica"}
             assert (await w.planned())[0] == (await w.planned(**mills))[0] == 200
             assert (await w.evacuate("/e1/start"))[0] == (await w.evacuate("/e2/start"))[0] == 200
             both = asyncio.gather(w.reach("moved"), w.reach("moved", name="e2"))
             await asyncio.gather(both, *(clients(w, kind, "moving", both) for kind in "qn"))
             for node in w.nodes():
-                await w.until(node.board, "parts", lambda n=node: len(n.placement.moves.all) == 2)
+                await w.until(node.state_board, "parts", lambda n=node: len(n.placement.moves.all) == 2)
             await asyncio.gather(*(w.one(kind, "away", k, 0) for kind in "qn" for k in range(6)))
             seen = w.seen()
             assert seen["away", "q", "thessaly"] == seen["away", "n", "attica"] == 6
@@ -285,8 +287,8 @@
         w = await day(tmp_path)
         try:
             assert (await w.planned())[0] == 200
-            held = [asyncio.ensure_future(w.lots("cut", "held"))]
-            await w.until(w.edge.board, "nothing", lambda: "roll" in kinds_at_work(w, "attica"))
+            held = [asyncio.ensure_future(w.batch_jobs("cut", "held"))]
+            await w.until(w.edge.state_board, "nothing", lambda: "roll" in kinds_at_work(w, "attica"))
             assert (await w.evacuate("/e1/start"))[0] == 200
             await w.load_until("moving", lose_half(w))
             await asyncio.gather(*held)
@@ -329,7 +331,7 @@
             assert (await w.evacuate("/e1/start"))[0] == 200
             await w.reach("moving")
             parting.begin()
-            await w.until(w.edge.board, "parts", lambda: is_out(w.edge, "thessaly"))
+            await w.until(w.edge.state_board, "parts", lambda: is_out(w.edge, "thessaly"))
             assert (await w.record())["OperState"] == "moving"
             await asyncio.gather(*(w.one(kind, "parted", k, 0) for kind in "qn" for k in range(4)))
             parting.end()
--- a/tests/health/test_outlier_detection.py
+++ b/tests/health/test_outlier_detection.py
@@ -18,9 +18,9 @@
     def __init__(self, ill, every=0.05, seed=7):
         self.p, self.ill, self.now, self.every = LoadBalancer("z", "edge", rest_s=1.2, widen=0.5), ill, 100.0, every
         self.rng = random.Random(seed)
-        self.p.fold([self.ent(f"i{n}") for n in range(N)])
+        self.p.fold([self.entry(f"i{n}") for n in range(N)])
 
-    def ent(self, iid, **change):
+    def entry(self, iid, **change):
         return {"id": iid, "addr": f"a{iid}:1", "service": "s", "zone": "z", "slots": 6, "state": "up", **change}
 
     def share(self, count):
@@ -34,8 +34,8 @@
                 lines.append(t)
             for t in lines:
                 t.under_way -= 1
-                ans, took = self.ill(t.iid, self) if t.iid == self.first else (SERVED, 0.03)
-                self.p.judge(t, ans, self.now, took, 0.05)
+                answer, took = self.ill(t.iid, self) if t.iid == self.first else (SERVED, 0.03)
+                self.p.judge(t, answer, self.now, took, 0.05)
                 hits += t.iid == self.first
             self.now += self.every
         return hits / (count // 3 * 3)
@@ -46,12 +46,12 @@
         return next(iter(self.p.pools["s"].subset.blocks()))[0].iid
 
 
-def grey(part, answer):
-    return lambda iid, site: (answer if site.rng.random() < part else SERVED, 0.03)
+def grey(shard, answer):
+    return lambda iid, site: (answer if site.rng.random() < shard else SERVED, 0.03)
 
 
 @pytest.mark.parametrize(
-    "part, answer, most",
+    "shard, answer, most",
     [
         (0.45, FAILED, 0.08),
         (0.45, CUT, 0.08),
@@ -62,11 +62,11 @@
         (0.0, FAILED, 0.34),
     ],
 )
-def test_a_grey_replica_is_all_but_avoided(part, answer, most):
-    site = Site(grey(part, answer))
+def test_a_grey_replica_is_all_but_avoided(shard, answer, most):
+    site = Site(grey(shard, answer))
     assert site.share(30) > 0  # it was liked best
     got = site.share(600)
-    assert got <= most and (part > 0.02 or got > 0.2)
+    assert got <= most and (shard > 0.02 or got > 0.2)
 
 
 @pytest.mark.parametrize("answer", [FAILED, CUT, DARK])
@@ -83,7 +83,7 @@
     site.share(60)
     hits = 0.0
     for n in range(20):
-        site.p.fold([site.ent(site.first, silent=True), site.ent(site.first, silent=False)])
+        site.p.fold([site.entry(site.first, silent=True), site.entry(site.first, silent=False)])
         hits += site.share(30)
     assert hits / 20 <= 0.1
 
@@ -104,7 +104,7 @@
     site.share(60)
     assert least <= site.share(600) <= most
     t = site.p.all[site.first]
-    assert t.fitness.look(site.now) == "fit"
+    assert t.health.look(site.now) == "fit"
     t.pace, site.ill = 8.0, grey(0.0, FAILED)
     site.share(1200)
     assert site.share(300) > 0.2  # what was seen long ago is forgotten
@@ -115,7 +115,7 @@
     site = Site(lambda iid, site: (answer, 0.001))
     assert site.share(600) <= 0.1
     t = site.p.all[site.first]
-    assert t.fitness.state == "fit" and t.fitness.share(site.now) == 0.0
+    assert t.health.state == "fit" and t.health.share(site.now) == 0.0
     site.ill, site.now = grey(0.0, FAILED), site.now + 10.0
     assert site.share(300) > 0.2
 
@@ -125,7 +125,7 @@
     site = Site(grey(0.0, FAILED))
     if serving:
         site.share(30)
-    site.p.fold([site.ent(site.first, silent=True)])
+    site.p.fold([site.entry(site.first, silent=True)])
     assert (site.p.pick("s", set(), site.now).iid == site.first) is picked
 
 
@@ -136,7 +136,7 @@
     for _ in range(4):
         site.p.note(t, "faulted", site.now)
     site.now += 1.3
-    assert t.fitness.look(site.now) == "doubtful"
+    assert t.health.look(site.now) == "doubtful"
     assert (site.p.pick("s", set(), site.now, sure=sure) is t) is picked
 
 
@@ -145,4 +145,4 @@
     for t in site.p.all.values():
         for _ in range(6):
             site.p.note(t, "faulted" if t.iid != "i5" else "served", site.now)
-    assert sum(t.fitness.look(site.now) == "resting" for t in site.p.all.values()) <= N // 3
+    assert sum(t.health.look(site.now) == "resting" for t in site.p.all.values()) <= N // 3
--- a/tests/http_server/test_client_disconnect.py
+++ b/tests/http_server/test_client_disconnect.py
@@ -18,43 +18,45 @@
 @pytest.mark.parametrize("kind, answers, out, broken", CASES)
 def test_what_is_out_when_the_client_leaves(run, kind, answers, out, broken):
     async def go():
-        fwd, lane = setup(answers + [GOOD], kind)
-        task = asyncio.ensure_future(fwd.run(Req, lane, list(Req.headers.items()), b""))
-        while len(fwd.caller.sent) < out:
+        fwd, route = setup(answers + [GOOD], kind)
+        task = asyncio.ensure_future(fwd.run(Req, route, list(Req.headers.items()), b""))
+        while len(fwd.upstream_client.sent) < out:
             await asyncio.sleep(0)
         task.cancel()
         with pytest.raises(asyncio.CancelledError):
             await task
         await asyncio.sleep(0)
-        assert len(fwd.caller.sent) == out and fwd.ctr.all["front.client_left"] == 1
-        assert (len(fwd.caller.ended) == out) is broken and len(fwd.outlived) == (0 if broken else out)
-        fwd.caller.gate.set()
+        assert len(fwd.upstream_client.sent) == out and fwd.counters.all["front.client_left"] == 1
+        assert (len(fwd.upstream_client.ended) == out) is broken and len(fwd.outlived) == (0 if broken else out)
+        fwd.upstream_client.gate.set()
         await asyncio.gather(*fwd.outlived)
-        assert {t.under_way for t in fwd.picker.all.values()} == {0}
-        assert {t.fitness.state for t in fwd.picker.all.values()} == {"fit"}  # it says nothing of a replica's health
+        assert {t.under_way for t in fwd.load_balancer.all.values()} == {0}
+        assert {t.health.state for t in fwd.load_balancer.all.values()} == {
+            "fit"
+        }  # it says nothing of a replica's health
 
     run(go())
 
 
 def test_a_connection_that_comes_up_after_the_client_left_is_not_used(run):
     async def go():
-        fwd, lane = setup([OUT], "non_idempotent")
+        fwd, route = setup([OUT], "non_idempotent")
         asked = []
-        send = fwd.caller.send
+        send = fwd.upstream_client.send
 
         async def slow_to_connect(*args):
             asked.append(args[-1])
             return await send(*args)
 
-        fwd.caller.send = slow_to_connect
-        task = asyncio.ensure_future(fwd.run(Req, lane, list(Req.headers.items()), b""))
+        fwd.upstream_client.send = slow_to_connect
+        task = asyncio.ensure_future(fwd.run(Req, route, list(Req.headers.items()), b""))
         while not asked:
             await asyncio.sleep(0)
         assert asked[0]()
         task.cancel()
         await asyncio.wait([task])
         assert not asked[0]()
-        fwd.caller.gate.set()
+        fwd.upstream_client.gate.set()
         await asyncio.gather(*fwd.outlived)
 
     run(go())
@@ -65,7 +67,7 @@
     async def go():
         began, ended, gate = asyncio.Event(), [], asyncio.Event()
 
-        async def slow(req, body):
+        async def slow(request, body):
             began.set()
             try:
                 await gate.wait()
--- a/tests/http_server/test_server.py
+++ b/tests/http_server/test_server.py
@@ -8,7 +8,7 @@
 
 
 async def window(limits=None, handler=None):
-    async def echo(req, body):
+    async def echo(request, body):
         return Result(200, body)
 
     win = HttpServer(handler or echo, open_logs("t", "CRITICAL"), Counters(), limits)
@@ -31,7 +31,7 @@
     async def go():
         win = await window({"HeaderTimeoutMs": 40, "IdleTimeoutMs": 60000})
         rd, wr = await talk(win, *raws)
-        assert (await rd.read()).startswith(b"HTTP/1.1 408 ") and win.ctr.all["http.slow_head"] == 1
+        assert (await rd.read()).startswith(b"HTTP/1.1 408 ") and win.counters.all["http.slow_head"] == 1
         wr.close()
         await win.close(0)
 
@@ -53,7 +53,7 @@
     async def go():
         gate, began = asyncio.Event(), asyncio.Event()
 
-        async def slow(req, body):
+        async def slow(request, body):
             began.set()
             await gate.wait()
             return Result(200, body)
--- a/tests/jobs/test_batch_job.py
+++ b/tests/jobs/test_batch_job.py
@@ -33,8 +33,13 @@
 def test_good_lot():
     raw = orjson.dumps(LOT)
     assert check_job("l", raw) == "m"
-    lot = read_job({"lot": "l", "run": "m", "host": "h", "path": "/p/"}, raw, 5.0)
-    assert lot.total == 2 and lot.least == 2 and lot.want == 1 and lot.items["i1"].heads == [("A", "b")]
+    batch_job = read_job({"lot": "l", "run": "m", "host": "h", "path": "/p/"}, raw, 5.0)
+    assert (
+        batch_job.total == 2
+        and batch_job.least == 2
+        and batch_job.want == 1
+        and batch_job.items["i1"].heads == [("A", "b")]
+    )
 
 
 @pytest.mark.parametrize(
@@ -66,23 +71,25 @@
         check_job("l", orjson.dumps(doc))
 
 
-@pytest.mark.parametrize("lid, raw", [("", orjson.dumps(LOT)), ("l", b""), ("l", b"[]"), ("l", orjson.dumps(LOT)[:-9])])
-def test_no_lot_at_all(lid, raw):
+@pytest.mark.parametrize(
+    "job_id, raw", [("", orjson.dumps(LOT)), ("l", b""), ("l", b"[]"), ("l", orjson.dumps(LOT)[:-9])]
+)
+def test_no_lot_at_all(job_id, raw):
     with pytest.raises(InvalidJobError):
-        check_job(lid, raw)
+        check_job(job_id, raw)
 
 
-def rec(kind="R", lot="l", pos=0, term=1, item="i", by=None, body=b"x"):
-    head = {"k": kind, "lot": lot, "run": "m"}
+def record(kind="R", batch_job="l", pos=0, term=1, item="i", by=None, body=b"x"):
+    head = {"k": kind, "lot": batch_job, "run": "m"}
     if kind == "R":
         head.update(pos=pos, term=term, item=item)
     return Record({**head, "by": by or term}, body)
 
 
 def test_records_pack():
-    recs = [rec(body=b""), rec("L", body=b"\x00" * 9)]
-    assert [(r.head, r.body) for r in unpack_many(pack_many(recs))] == [(r.head, r.body) for r in recs]
-    assert unpack(pack(recs[1])).body == recs[1].body
+    records = [record(body=b""), record("L", body=b"\x00" * 9)]
+    assert [(r.head, r.body) for r in unpack_many(pack_many(records))] == [(r.head, r.body) for r in records]
+    assert unpack(pack(records[1])).body == records[1].body
 
 
 CASES = [  # promised before, record's term, taken, promised after
@@ -96,11 +103,11 @@
 @pytest.mark.parametrize("promised, by, taken, after", CASES)
 def test_shelf_takes_by_term(run, clock, promised, by, taken, after):
     async def go():
-        shelf = RecordStore(MemBook(), clock, Counters())
+        record_store = RecordStore(MemBook(), clock, Counters())
         if promised:
-            await shelf.prepare("m", promised)
-        assert await shelf.append([rec("L", by=by)]) == [taken]
-        assert shelf.promised["m"] == after and ("l" in shelf.lots) is taken
+            await record_store.prepare("m", promised)
+        assert await record_store.append([record("L", by=by)]) == [taken]
+        assert record_store.promised["m"] == after and ("l" in record_store.batch_jobs) is taken
 
     run(go())
 
@@ -108,10 +115,10 @@
 @pytest.mark.parametrize("terms, item", [([1, 2], "i2"), ([2, 1], "i1"), ([1, 1], "i1")])
 def test_a_position_is_replaced_only_by_a_higher_term(run, clock, terms, item):
     async def go():
-        shelf = RecordStore(MemBook(), clock, Counters())
+        record_store = RecordStore(MemBook(), clock, Counters())
         for n, t in enumerate(terms, 1):
-            await shelf.append([rec(term=t, by=9, item=f"i{n}")])
-        assert shelf.lots["l"]["results"][0].head["item"] == item
+            await record_store.append([record(term=t, by=9, item=f"i{n}")])
+        assert record_store.batch_jobs["l"]["results"][0].head["item"] == item
 
     run(go())
 
@@ -119,10 +126,10 @@
 @pytest.mark.parametrize("first, second, ok", [(2, 1, False), (2, 2, True), (2, 3, True)])
 def test_prepare(run, clock, first, second, ok):
     async def go():
-        shelf = RecordStore(MemBook(), clock, Counters())
-        await shelf.append([rec("L"), rec(pos=0), rec("E")])
-        await shelf.prepare("m", first)
-        out = await shelf.prepare("m", second)
+        record_store = RecordStore(MemBook(), clock, Counters())
+        await record_store.append([record("L"), record(pos=0), record("E")])
+        await record_store.prepare("m", first)
+        out = await record_store.prepare("m", second)
         assert out["ok"] is ok
         if ok:
             assert out["lots"] == {"l": {"lot": True, "end": True, "results": [[0, 1, "i"]]}}
@@ -132,38 +139,38 @@
 
 def test_shelf_after_a_loss_of_power(run, clock):
     async def go():
-        book = MemBook()
-        shelf = RecordStore(book, clock, Counters())
-        shelf.id = "s"
-        await shelf.append([rec("L", by=4), rec(pos=0, term=3, by=4)])
-        again = RecordStore(book, clock, Counters())
-        again.load(book.raws)
-        assert again.promised == {"m": 4} and again.lots["l"]["results"][0].head["term"] == 3
-        third = RecordStore(book, clock, Counters())
+        wal = MemBook()
+        record_store = RecordStore(wal, clock, Counters())
+        record_store.id = "s"
+        await record_store.append([record("L", by=4), record(pos=0, term=3, by=4)])
+        again = RecordStore(wal, clock, Counters())
+        again.load(wal.raws)
+        assert again.promised == {"m": 4} and again.batch_jobs["l"]["results"][0].head["term"] == 3
+        third = RecordStore(wal, clock, Counters())
         third.load(again.snapshot())
-        assert third.promised == again.promised and third.lots.keys() == again.lots.keys()
+        assert third.promised == again.promised and third.batch_jobs.keys() == again.batch_jobs.keys()
 
     run(go())
 
 
 def test_page_gives_at_least_one_and_no_more_than_fits():
-    lot = read_job({"lot": "l", "run": "m", "host": "h", "path": "/p/"}, orjson.dumps(LOT), 0.0)
-    lot.results = [rec(pos=n, body=b"y" * 600) for n in range(3)]
-    lot.listed = 2
-    assert lot.page(0, most=10) == ([b"y" * 600], 1)
-    assert lot.page(0) == ([b"y" * 600] * 2, 2)
-    assert lot.page(2) == ([], 2) and lot.page(7) == ([], 7)
+    batch_job = read_job({"lot": "l", "run": "m", "host": "h", "path": "/p/"}, orjson.dumps(LOT), 0.0)
+    batch_job.results = [record(pos=n, body=b"y" * 600) for n in range(3)]
+    batch_job.listed = 2
+    assert batch_job.page(0, most=10) == ([b"y" * 600], 1)
+    assert batch_job.page(0) == ([b"y" * 600] * 2, 2)
+    assert batch_job.page(2) == ([], 2) and batch_job.page(7) == ([], 7)
 
 
 def test_intents_to_order_outlive_a_loss_of_power_and_are_forgotten_in_time(run, clock):
     async def go():
-        book = MemBook()
-        shelf = RecordStore(book, clock, Counters())
-        await shelf.append([Record({"k": "O", "lot": "", "run": "m", "iid": "e1", "by": 2})])
+        wal = MemBook()
+        record_store = RecordStore(wal, clock, Counters())
+        await record_store.append([Record({"k": "O", "lot": "", "run": "m", "iid": "e1", "by": 2})])
         clock.at += 2
-        assert (await shelf.prepare("m", 3))["orders"] == {"e1": 2.0}
-        again = RecordStore(book, clock, Counters())
-        again.load(book.raws)  # how old it is cannot be known any more: it counts from now
+        assert (await record_store.prepare("m", 3))["orders"] == {"e1": 2.0}
+        again = RecordStore(wal, clock, Counters())
+        again.load(wal.raws)  # how old it is cannot be known any more: it counts from now
         assert (await again.prepare("m", 4))["orders"] == {"e1": 0.0}
         assert await again.append([Record({"k": "O", "lot": "", "run": "m", "iid": "e2", "by": 2})]) == [False]
         clock.at += 7
--- a/tests/jobs/test_quorum.py
+++ b/tests/jobs/test_quorum.py
@@ -27,7 +27,7 @@
 LOG = open_logs("t", "CRITICAL")
 
 
-def settings(**tolerance):
+def quorum_settings(**tolerance):
     return check_settings(
         {"NodeName": "n", "IpAddress": "1.1.1.1", "InternalPorts": [1, 9], "FaultTolerance": tolerance}
     )
@@ -38,17 +38,17 @@
 
     node = property(lambda self: Node)
 
-    def __init__(self, clock, boot, n, zones=("z",)):
-        self.clock, self.boot, self.val, self.at, self.dark = clock, boot, {"runs": {"s": 1}}, {}, set()
+    def __init__(self, clock, settings, n, zones=("z",)):
+        self.clock, self.settings, self.value, self.at, self.dark = clock, settings, {"runs": {"s": 1}}, {}, set()
         self.ids, self.zones = itertools.count(), zones
         for i in range(n):
             self.start(f"p{i}", MemBook())
 
-    def start(self, place, book, sid=None):
+    def start(self, place, wal, sid=None):
         """A process on this disk; an empty one has a new id and joins."""
-        node = self.at[place] = self.node(self, place, book, sid or f"s{next(self.ids)}")
+        node = self.at[place] = self.node(self, place, wal, sid or f"s{next(self.ids)}")
         zone = self.zones[int(place[1:]) % len(self.zones)]
-        commands.run(self.val, "store.join", {"id": node.id, "name": place, "ip": place, "zone": zone})
+        commands.run(self.value, "store.join", {"id": node.id, "name": place, "ip": place, "zone": zone})
         return node
 
     def wipe(self, place):
@@ -57,18 +57,18 @@
     def power(self, place):
         """Lose what was not synced, and start again."""
         old = self.at[place]
-        return self.start(place, old.shelf.book, old.id)
+        return self.start(place, old.record_store.wal, old.id)
 
-    def holders(self, lid):
-        return [p for p, n in self.at.items() if n.shelf.lots.get(lid, {}).get("lot")]
+    def holders(self, job_id):
+        return [p for p, n in self.at.items() if n.record_store.batch_jobs.get(job_id, {}).get("lot")]
 
-    def to(self, addr):
-        return SimpleNamespace(call=lambda *a, **kw: self.call(addr, *a, **kw))
+    def to(self, address):
+        return SimpleNamespace(call=lambda *a, **kwargs: self.call(address, *a, **kwargs))
 
-    async def call(self, addr, verb, doc, body=b"", secs=1.0):
-        if addr in self.dark:
-            raise CallError(addr, sent=True)
-        node = self.at[addr]
+    async def call(self, address, verb, doc, body=b"", timeout_s=1.0):
+        if address in self.dark:
+            raise CallError(address, sent=True)
+        node = self.at[address]
         if verb == "store.ping":
             return 1000, orjson.loads(orjson.dumps(node.membership.word().doc())), b""
         if verb == "shelf.lacks":
@@ -76,11 +76,11 @@
         if doc["to"] != node.id:
             return 2008, None, b""
         if verb == "shelf.append":
-            return 1000, await node.shelf.append(unpack_many(body)), b""
+            return 1000, await node.record_store.append(unpack_many(body)), b""
         if verb == "shelf.prepare":
-            return 1000, orjson.loads(orjson.dumps(await node.shelf.prepare(doc["run"], doc["term"]))), b""
+            return 1000, orjson.loads(orjson.dumps(await node.record_store.prepare(doc["run"], doc["term"]))), b""
         assert verb == "shelf.fetch"
-        return 1000, None, pack_many(node.shelf.fetch(doc["lot"], doc["poss"], doc["want_lot"]))
+        return 1000, None, pack_many(node.record_store.fetch(doc["lot"], doc["poss"], doc["want_lot"]))
 
 
 class Node:
@@ -88,62 +88,73 @@
 
     confirmed, fetch, ask_store = StoreNode.confirmed, StoreNode.fetch, StoreNode.ask_store
 
-    def __init__(self, site, place, book, sid):
-        self.site, self.place, self.id, self.clock, self.boot = site, place, sid, site.clock, site.boot
-        self.log, self.ctr, self.board, self.beat_s, self.quiet_s = LOG, Counters(), StateBoard(), 0.001, 0.05
-        self.shelf = RecordStore(book, self.clock, self.ctr)
-        self.shelf.load(book.raws)
-        self.crew, self.lines, self.news, self.quorum = TaskGroup(LOG, self.ctr), site, self, Quorum.of(site.boot)
-        self.copier = Replicator(
-            sid, self.shelf, site, self.members, self.alive, self.crew, self.ctr, 0.05, self.quorum
+    def __init__(self, site, place, wal, sid):
+        self.site, self.place, self.id, self.clock, self.settings = site, place, sid, site.clock, site.settings
+        self.log, self.counters, self.state_board, self.heartbeat_interval_s, self.quiet_s = (
+            LOG,
+            Counters(),
+            StateBoard(),
+            0.001,
+            0.05,
         )
-        self.ready, self.leaving, self.reigns, self.life = True, False, {}, "life"
-        self.disk = DiskState(self.clock, 3.0, self.ctr)
+        self.record_store = RecordStore(wal, self.clock, self.counters)
+        self.record_store.load(wal.raws)
+        self.task_group, self.connections, self.config_watcher, self.quorum = (
+            TaskGroup(LOG, self.counters),
+            site,
+            self,
+            Quorum.of(site.settings),
+        )
+        self.replicator = Replicator(
+            sid, self.record_store, site, self.members, self.alive, self.task_group, self.counters, 0.05, self.quorum
+        )
+        self.ready, self.leaving, self.leaderships, self.incarnation = True, False, {}, "life"
+        self.disk = DiskState(self.clock, 3.0, self.counters)
         self.membership = Membership(self)
         self.capacity = SimpleNamespace(enabled=False)
         self.proofs, self.ping = self.membership.proofs, self.membership.ping
         self.verbs = SimpleNamespace(table={"shelf.prepare": self._prepare})
 
     async def _prepare(self, doc, body):
-        return await self.shelf.prepare(doc["run"], doc["term"])
+        return await self.record_store.prepare(doc["run"], doc["term"])
 
-    async def do(self, part, name, args):
-        code, doc, _ = commands.run(self.site.val, name, args)
+    async def do(self, shard, name, args):
+        code, doc, _ = commands.run(self.site.value, name, args)
         return code, orjson.loads(orjson.dumps(doc))
 
     def card(self):
         return {"id": self.id}
 
     def members(self):
-        return {s: {**m, "addr": m["ip"]} for s, m in self.site.val["stores"].items()}
+        return {s: {**m, "addr": m["ip"]} for s, m in self.site.value["stores"].items()}
 
     def addr_of(self, m):
         return m["ip"]
 
     def alive(self, sid):
-        m = self.site.val["stores"].get(sid)
+        m = self.site.value["stores"].get(sid)
         return m is not None and m["ip"] not in self.site.dark and self.site.at[m["ip"]].id == sid
 
     def hear(self, names):
         """What pings would have brought from these stores."""
         for sid in names:
-            place = self.site.val["stores"][sid]["ip"]
-            self.proofs[sid] = (self.clock.now(), dict(self.site.at[place].shelf.promised))
+            place = self.site.value["stores"][sid]["ip"]
+            self.proofs[sid] = (self.clock.now(), dict(self.site.at[place].record_store.promised))
 
-    async def reign(self, term):
-        reign = LeadershipTerm(self, "s", term)
-        await reign.begin()
+    async def leadership(self, term):
+        leadership = LeadershipTerm(self, "s", term)
+        await leadership.begin()
         self.hear(s for s in self.members() if self.alive(s) and s != self.id)
-        return reign
+        return leadership
 
 
 async def accepted(site, at, term=1):
     """A holder that took a lot and listed a result."""
-    reign = await site.at[at].reign(term)
-    await reign.put({"lot": "l", "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
-    await reign.list_result(reign.lots["l"], "i1", {"a": 1})
-    assert reign.lots["l"].listed == 1
-    return reign
+    leadership = await site.at[at].leadership(term)
+    await leadership.put({"lot": "l", "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
+    await leadership.list_result(leadership.batch_jobs["l"], "i1", {"a": 1})
+    assert leadership.batch_jobs["l"].listed == 1
+    return leadership
 
 
 SIZES = [
@@ -161,7 +172,7 @@
 @pytest.mark.parametrize("tol, n", SIZES, ids=IDS)
 def test_an_acknowledgement_has_just_enough_copies(run, clock, tol, n):
     async def go():
-        site = Site(clock, settings(**tol), n)
+        site = Site(clock, quorum_settings(**tol), n)
         await accepted(site, "p0")
         assert len(site.holders("l")) == tol["Machines"] + 1 and "p0" in site.holders("l")
 
@@ -173,7 +184,7 @@
 def test_disks_are_wiped_right_after_the_acknowledgement_and_all_others_lose_power(run, clock, tol, n, from_end):
     async def go():
         f = tol["Machines"]
-        site = Site(clock, settings(**tol), n)
+        site = Site(clock, quorum_settings(**tol), n)
         await accepted(site, "p0")
         # twice: what was repaired must be as good as what was accepted
         for term in (2, 3):
@@ -181,15 +192,15 @@
             lost = held[len(held) - f :] if from_end else held[:f]
             for p in list(site.at):
                 (site.wipe if p in lost else site.power)(p)
-            assert sum(m["state"] == "leaving" for m in site.val["stores"].values()) == f
+            assert sum(m["state"] == "leaving" for m in site.value["stores"].values()) == f
             new = next(p for p in site.at if p in lost or n == 1 or p not in held)
-            reign = await site.at[new].reign(term)
-            lot = reign.lots["l"]
-            assert lot.listed == 1 and lot.page(0)[0] == [b'{"a":1}']
-            await reign.mend()
-            assert all(m["state"] == "active" for m in site.val["stores"].values())  # and none leaves any more
-            assert all(site.at[new].copier.enough(r) for r in lot.recs)
-            assert len([p for p in site.holders("l") if site.at[p].id in site.val["stores"]]) >= f + 1
+            leadership = await site.at[new].leadership(term)
+            batch_job = leadership.batch_jobs["l"]
+            assert batch_job.listed == 1 and batch_job.page(0)[0] == [b'{"a":1}']
+            await leadership.mend()
+            assert all(m["state"] == "active" for m in site.value["stores"].values())  # and none leaves any more
+            assert all(site.at[new].replicator.enough(r) for r in batch_job.records)
+            assert len([p for p in site.holders("l") if site.at[p].id in site.value["stores"]]) >= f + 1
 
     run(go())
 
@@ -197,65 +208,65 @@
 @pytest.mark.parametrize("tol, n, dark", [(t, n, d) for t, n in SIZES for d in range(min(n, 5))])
 def test_a_gather_needs_all_but_what_may_be_lost(run, clock, tol, n, dark):
     async def go():
-        site = Site(clock, settings(**tol), n)
+        site = Site(clock, quorum_settings(**tol), n)
         await accepted(site, "p0")
         held = site.holders("l")
         site.dark = set((held + [p for p in site.at if p not in held])[:dark])
         at = site.at[next(p for p in reversed(list(site.at)) if p not in site.dark)]
-        reign = LeadershipTerm(at, "s", 2)
-        assert await reign.takeover.gather() is (dark <= tol["Machines"])
-        assert ("l" in reign.lots) is (dark <= tol["Machines"])
+        leadership = LeadershipTerm(at, "s", 2)
+        assert await leadership.takeover.gather() is (dark <= tol["Machines"])
+        assert ("l" in leadership.batch_jobs) is (dark <= tol["Machines"])
 
     run(go())
 
 
 # so many of the lot's copies were wiped, so many stores are dark; the lot asked for is there ("l"), or not
 NOWHERE = [
-    (f, n, wiped, dark, lot)
+    (f, n, wiped, dark, batch_job)
     for f, n in [(0, 3), (1, 3), (1, 4), (2, 5), (2, 9)]
     for wiped in range(f + 1)
     for dark in range(n)
-    for lot in ("l", "x")
+    for batch_job in ("l", "x")
 ]
 
 
-@pytest.mark.parametrize("f, n, wiped, dark, lot", NOWHERE)
-def test_no_such_lot_is_said_only_when_it_is_sure(run, clock, f, n, wiped, dark, lot):
+@pytest.mark.parametrize("f, n, wiped, dark, batch_job", NOWHERE)
+def test_no_such_lot_is_said_only_when_it_is_sure(run, clock, f, n, wiped, dark, batch_job):
     async def go():
-        site = Site(clock, settings(Machines=f), n)
+        site = Site(clock, quorum_settings(Machines=f), n)
         await accepted(site, "p0")
         held = site.holders("l")
         for p in held[:wiped]:
             site.wipe(p)
         site.dark = set(([p for p in held[wiped:]] + [p for p in site.at if p not in held])[:dark])
-        news = SimpleNamespace(parts={"plan": site.val})
-        desk = JobHandlers(site.boot, news, site, Counters(), clock)
-        site.to = lambda addr, to=site.to: to(addr.rsplit(":", 1)[0])
-        assert await desk._nowhere(lot) is (lot == "x" and wiped + dark <= f)
+        config_watcher = SimpleNamespace(shards={"plan": site.value})
+        desk = JobHandlers(site.settings, config_watcher, site, Counters(), clock)
+        site.to = lambda address, to=site.to: to(address.rsplit(":", 1)[0])
+        assert await desk._nowhere(batch_job) is (batch_job == "x" and wiped + dark <= f)
 
     run(go())
 
 
 def test_an_edge_with_old_news_does_not_say_that_a_lot_is_gone(run, clock):
     async def go():
-        site = Site(clock, settings(Machines=1), 3)
-        old = orjson.loads(orjson.dumps(site.val))
+        site = Site(clock, quorum_settings(Machines=1), 3)
+        old = orjson.loads(orjson.dumps(site.value))
         for p in ("p3", "p4"):
             site.start(p, MemBook())
         site.dark = {"p0", "p1", "p2"}
-        site.at["p4"].copier.alive = site.at["p4"].alive
-        reign = LeadershipTerm(site.at["p4"], "s", 1)
-        reign.gathered()  # the lot comes to stores that the edge has not heard of
-        await reign.put({"lot": "l", "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
+        site.at["p4"].replicator.alive = site.at["p4"].alive
+        leadership = LeadershipTerm(site.at["p4"], "s", 1)
+        leadership.gathered()  # the lot comes to stores that the edge has not heard of
+        await leadership.put({"lot": "l", "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
         assert site.holders("l") == ["p3", "p4"]
         site.dark = set()
-        site.to = lambda addr, to=site.to: to(addr.rsplit(":", 1)[0])
-        desk = JobHandlers(site.boot, SimpleNamespace(parts={"plan": old}), site, Counters(), clock)
+        site.to = lambda address, to=site.to: to(address.rsplit(":", 1)[0])
+        desk = JobHandlers(site.settings, SimpleNamespace(shards={"plan": old}), site, Counters(), clock)
         assert not await desk._nowhere("l")
-        desk.news.parts["plan"] = site.val
+        desk.config_watcher.shards["plan"] = site.value
         assert not await desk._nowhere("l") and await desk._nowhere("x")
         site.at["p0"].id = "another"  # what stands there now is not the member that was asked
-        assert await desk._lacks("p0:9", "s0", "x") is None and desk.ctr.all["lot.other_life"] == 1
+        assert await desk._lacks("p0:9", "s0", "x") is None and desk.counters.all["lot.other_life"] == 1
 
     run(go())
 
@@ -277,13 +288,13 @@
 )
 def test_reads_and_orders_need_so_many_others(run, clock, f, n, heard, good):
     async def go():
-        site = Site(clock, settings(Machines=f), n)
-        reign = await accepted(site, "p0")
-        reign.st.proofs.clear()
-        reign.st.hear([site.at[f"p{i}"].id for i in range(1, heard + 1)])
-        assert reign.fresh() is good and reign.may_order() is good
+        site = Site(clock, quorum_settings(Machines=f), n)
+        leadership = await accepted(site, "p0")
+        leadership.store.proofs.clear()
+        leadership.store.hear([site.at[f"p{i}"].id for i in range(1, heard + 1)])
+        assert leadership.fresh() is good and leadership.may_order() is good
         clock.at += 30  # what was said long ago proves nothing
-        assert reign.fresh() is (f == 0) and reign.may_order() is (f == 0)
+        assert leadership.fresh() is (f == 0) and leadership.may_order() is (f == 0)
 
     run(go())
 
@@ -293,17 +304,17 @@
     """The new holder hears all but the old one and as many others as may be lost with it; these confirm the old one."""
 
     async def go():
-        site = Site(clock, settings(Machines=f), n)
+        site = Site(clock, quorum_settings(Machines=f), n)
         old = await accepted(site, "p0")
         unheard = [f"p{i}" for i in range(f)]
         site.dark = set(unheard)
-        new = await site.at[f"p{n - 1}"].reign(2)
+        new = await site.at[f"p{n - 1}"].leadership(2)
         assert new.state == "holding"
         site.dark = set()
-        old.st.proofs.clear()
-        old.st.hear([site.at[p].id for p in unheard[1:]])
+        old.store.proofs.clear()
+        old.store.hear([site.at[p].id for p in unheard[1:]])
         assert not old.fresh() and not old.may_order() and old.state == "holding"
-        old.st.hear([n.id for n in site.at.values()])
+        old.store.hear([n.id for n in site.at.values()])
         assert not old.fresh() and not old.may_order()
         assert new.fresh() and new.may_order()
 
@@ -321,18 +332,18 @@
 )
 def test_whose_word_counts(run, clock, why, who, good):
     async def go():
-        site = Site(clock, settings(Machines=1), 4)
-        reign = await accepted(site, "p0")
+        site = Site(clock, quorum_settings(Machines=1), 4)
+        leadership = await accepted(site, "p0")
         other = site.at["p1"]
         if who == "promised":
-            await other.shelf.prepare("s", 9)
-        reign.st.proofs.clear()
-        reign.st.hear([other.id])
+            await other.record_store.prepare("s", 9)
+        leadership.store.proofs.clear()
+        leadership.store.hear([other.id])
         if who == "leaving":
-            site.val["stores"][other.id]["state"] = "leaving"
+            site.value["stores"][other.id]["state"] = "leaving"
         if who == "gone":
-            del site.val["stores"][other.id]
-        assert reign.fresh() is good
+            del site.value["stores"][other.id]
+        assert leadership.fresh() is good
 
     run(go())
 
@@ -348,14 +359,14 @@
 def test_a_whole_zone_is_lost(run, clock, tol, zones, n, want):
     async def go():
         for lost in itertools.combinations(zones, tol["Zones"]):
-            site = Site(clock, settings(**tol), n, zones)
+            site = Site(clock, quorum_settings(**tol), n, zones)
             await accepted(site, "p0")
             assert len(site.holders("l")) == want
-            site.dark = {m["ip"] for m in site.val["stores"].values() if m["zone"] in lost}
+            site.dark = {m["ip"] for m in site.value["stores"].values() if m["zone"] in lost}
             at = next(p for p in site.at if p not in site.dark)
-            reign = await site.at[at].reign(2)
-            assert reign.lots["l"].listed == 1 and reign.fresh()
-            assert not site.at[at].quorum.enough([site.at[p].id for p in site.dark], active(site.val["stores"]))
+            leadership = await site.at[at].leadership(2)
+            assert leadership.batch_jobs["l"].listed == 1 and leadership.fresh()
+            assert not site.at[at].quorum.enough([site.at[p].id for p in site.dark], active(site.value["stores"]))
 
     run(go())
 
@@ -363,31 +374,33 @@
 @pytest.mark.parametrize("how", ["it answers late", "it does not answer"])
 def test_a_store_that_is_slow_is_not_waited_for_and_left_alone_for_a_while(run, clock, how):
     async def go():
-        site = Site(clock, settings(Machines=1), 3)
-        reign = await site.at["p0"].reign(1)
-        st, asked, gate = reign.st, [], asyncio.Event()
-        slow = site.val["stores"][next(s for s in st.copier.targets("l1", {st.id}))]["ip"]
+        site = Site(clock, quorum_settings(Machines=1), 3)
+        leadership = await site.at["p0"].leadership(1)
+        store, asked, gate = leadership.store, [], asyncio.Event()
+        slow = site.value["stores"][next(s for s in store.replicator.targets("l1", {store.id}))]["ip"]
         real = site.call
 
-        async def call(addr, verb, *a, **kw):
-            asked.append(addr)
-            if addr == slow and how == "it answers late":
+        async def call(address, verb, *a, **kwargs):
+            asked.append(address)
+            if address == slow and how == "it answers late":
                 await gate.wait()
-            elif addr == slow:
+            elif address == slow:
                 raise CallError("lost", sent=True)
-            return await real(addr, verb, *a, **kw)
+            return await real(address, verb, *a, **kwargs)
 
         site.call = call
 
-        async def put(lid):
+        async def put(job_id):
             asked.clear()
-            await reign.put({"lot": lid, "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
+            await leadership.put({"lot": job_id, "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
             return slow in asked
 
         assert await put("l1") and slow not in site.holders("l1") and len(site.holders("l1")) == 2
-        same = [lid for lid in (f"x{n}" for n in range(40)) if rank(lid, ["s1", "s2"])[0] == site.at[slow].id][:2]
+        same = [job_id for job_id in (f"x{n}" for n in range(40)) if rank(job_id, ["s1", "s2"])[0] == site.at[slow].id][
+            :2
+        ]
         assert not await put(same[0])  # its turn by rendezvous, but it was late lately
-        clock.at += st.copier.secs * SHUN
+        clock.at += store.replicator.seconds * SHUN
         gate.set()
         assert await put(same[1])
 
@@ -396,12 +409,12 @@
 
 def test_a_silent_copy_is_made_up_for_by_another(run, clock):
     async def go():
-        site = Site(clock, settings(Machines=1), 4)
-        reign = await accepted(site, "p0")
-        await reign.mend()
-        assert len(site.holders("l")) == 2 and "mend.records" not in reign.st.ctr.all
+        site = Site(clock, quorum_settings(Machines=1), 4)
+        leadership = await accepted(site, "p0")
+        await leadership.mend()
+        assert len(site.holders("l")) == 2 and "mend.records" not in leadership.store.counters.all
         site.dark = {next(p for p in site.holders("l") if p != "p0")}
-        await reign.mend()
+        await leadership.mend()
         assert len(site.holders("l")) == 3
 
     run(go())
@@ -417,7 +430,7 @@
         ("a store with copies lost its disk", lambda site: site.wipe(with_copies(site)), 3, 2),
         (
             "a store with copies is to leave",
-            lambda site: site.val["stores"][site.at[with_copies(site)].id].update(state="leaving"),
+            lambda site: site.value["stores"][site.at[with_copies(site)].id].update(state="leaving"),
             3,
             2,
         ),
@@ -425,20 +438,23 @@
 )
 def test_repair_looks_at_all_records_only_when_the_stores_change(run, clock, why, change, looked, sent):
     async def go():
-        site = Site(clock, settings(Machines=1), 4)
-        reign = await accepted(site, "p0")
-        ctr = reign.st.ctr.all
-        await reign.mend()
-        before = ctr["mend.looked"], ctr.get("mend.records", 0)
+        site = Site(clock, quorum_settings(Machines=1), 4)
+        leadership = await accepted(site, "p0")
+        counters = leadership.store.counters.all
+        await leadership.mend()
+        before = counters["mend.looked"], counters.get("mend.records", 0)
         change(site)
         for _ in range(3):
-            await reign.mend()
+            await leadership.mend()
         # the lot and its result once in the walk, and what lacks copies once more to send it
-        assert (ctr["mend.looked"] - before[0], ctr.get("mend.records", 0) - before[1]) == (looked and 2 + sent, sent)
-        assert not reign.mending.thin
-        await reign.list_result(reign.lots["l"], "i2", {})  # new records need no look
-        await reign.mend()
-        assert ctr["mend.looked"] - before[0] == (looked and 2 + sent) and reign.lots["l"].listed == 2
+        assert (counters["mend.looked"] - before[0], counters.get("mend.records", 0) - before[1]) == (
+            looked and 2 + sent,
+            sent,
+        )
+        assert not leadership.mending.thin
+        await leadership.list_result(leadership.batch_jobs["l"], "i2", {})  # new records need no look
+        await leadership.mend()
+        assert counters["mend.looked"] - before[0] == (looked and 2 + sent) and leadership.batch_jobs["l"].listed == 2
 
     run(go())
 
@@ -454,40 +470,40 @@
 @pytest.mark.parametrize("answers", [True, False])
 def test_what_could_not_be_repaired_is_tried_again(run, clock, answers):
     async def go():
-        site = Site(clock, settings(Machines=1), 3)
-        reign = await accepted(site, "p0")
+        site = Site(clock, quorum_settings(Machines=1), 3)
+        leadership = await accepted(site, "p0")
         gone, spare = with_copies(site), without(site)
         old = site.at[gone].id
         site.wipe(gone)
         site.dark = {gone, spare}
-        reign.st.alive = reign.st.copier.alive = lambda sid: True
-        await reign.mend()
-        assert len(reign.mending.thin) == 2 and site.val["stores"][old]["state"] == "leaving"
+        leadership.store.alive = leadership.store.replicator.alive = lambda sid: True
+        await leadership.mend()
+        assert len(leadership.mending.thin) == 2 and site.value["stores"][old]["state"] == "leaving"
         if answers:
             site.dark = set()
-            await reign.mend()
-        assert (old not in site.val["stores"]) is answers and bool(reign.mending.thin) is not answers
+            await leadership.mend()
+        assert (old not in site.value["stores"]) is answers and bool(leadership.mending.thin) is not answers
 
     run(go())
 
 
 def test_repair_of_many_lots_shares_its_calls(run, clock):
     async def go():
-        site = Site(clock, settings(Machines=1), 3)
-        reign = await accepted(site, "p0")
+        site = Site(clock, quorum_settings(Machines=1), 3)
+        leadership = await accepted(site, "p0")
         for n in range(40):
-            await reign.put({"lot": f"l{n}", "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
+            await leadership.put({"lot": f"l{n}", "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
         gone, calls = with_copies(site), []
         site.wipe(gone)
         real = site.call
 
-        async def call(addr, verb, *a, **kw):
-            calls.append((addr, verb))
-            return await real(addr, verb, *a, **kw)
+        async def call(address, verb, *a, **kwargs):
+            calls.append((address, verb))
+            return await real(address, verb, *a, **kwargs)
 
         site.call = call
-        await reign.mend()
-        assert not reign.mending.thin and len(calls) <= 4
+        await leadership.mend()
+        assert not leadership.mending.thin and len(calls) <= 4
 
     run(go())
 
@@ -544,29 +560,39 @@
     assert q.pick(order, held, MEMBERS) == picked
 
 
-async def no_room(recs):
-    return [None] * len(recs)
+async def no_room(records):
+    return [None] * len(records)
 
 
 @pytest.mark.parametrize(
     "why, change, count, out",
     [
-        ("a higher term was promised", lambda site: site.at["p1"].shelf.promised.update(s=9), "copy.stale_term", False),
+        (
+            "a higher term was promised",
+            lambda site: site.at["p1"].record_store.promised.update(s=9),
+            "copy.stale_term",
+            False,
+        ),
         ("another life stands there", lambda site: setattr(site.at["p1"], "id", "other"), "copy.refused.2008", None),
         ("it is dark", lambda site: site.dark.add("p1"), "copy.unanswered", None),
-        ("its disk lacks the room", lambda site: setattr(site.at["p1"].shelf, "append", no_room), "copy.no_room", None),
+        (
+            "its disk lacks the room",
+            lambda site: setattr(site.at["p1"].record_store, "append", no_room),
+            "copy.no_room",
+            None,
+        ),
         ("all is well", lambda site: None, None, True),
     ],
 )
 def test_what_a_copy_meets_is_counted(run, clock, why, change, count, out):
     async def go():
-        site = Site(clock, settings(Machines=1), 3)
-        st = site.at["p0"]
+        site = Site(clock, quorum_settings(Machines=1), 3)
+        store = site.at["p0"]
         change(site)
-        rec = Record({"k": "E", "lot": "l", "run": "s"})
-        assert await st.copier.send("s1", "s", 1, [rec]) is out
-        got = {k: v for k, v in st.ctr.all.items() if k.startswith("copy.")}
-        assert got == ({count: 1} if count else {}) and ("s1" in rec.held) is (out is True)
+        record = Record({"k": "E", "lot": "l", "run": "s"})
+        assert await store.replicator.send("s1", "s", 1, [record]) is out
+        got = {k: v for k, v in store.counters.all.items() if k.startswith("copy.")}
+        assert got == ({count: 1} if count else {}) and ("s1" in record.held) is (out is True)
 
     run(go())
 
@@ -582,33 +608,33 @@
 )
 def test_a_ping_proves_what_a_member_that_knows_the_terms_answers(run, clock, change, proven, counted):
     async def go():
-        site = Site(clock, settings(Machines=1), 3)
-        reign = await accepted(site, "p0")
-        st = reign.st
-        st.proofs.clear()
+        site = Site(clock, quorum_settings(Machines=1), 3)
+        leadership = await accepted(site, "p0")
+        store = leadership.store
+        store.proofs.clear()
         change(site)
-        await st.ping("s1", "p1")
-        assert reign.fresh() is proven and st.ctr.all["ping.other_life"] == counted
+        await store.ping("s1", "p1")
+        assert leadership.fresh() is proven and store.counters.all["ping.other_life"] == counted
 
     run(go())
 
 
 def test_a_new_member_does_not_confirm_a_holder_whose_successor_gathered_before_it_joined(run, clock):
     async def go():
-        site = Site(clock, settings(Machines=1), 3)
+        site = Site(clock, quorum_settings(Machines=1), 3)
         old = await accepted(site, "p0")
         site.dark = {"p0"}
-        new = await site.at["p1"].reign(2)
+        new = await site.at["p1"].leadership(2)
         assert new.state == "holding"
         site.dark = set()
         joined = site.start("p3", MemBook())
         joined.ready = False
-        old.st.proofs.clear()
-        await old.st.ping(joined.id, "p3")
+        old.store.proofs.clear()
+        await old.store.ping(joined.id, "p3")
         assert not old.fresh() and not old.may_order()
-        await joined.shelf.prepare("s", 2)  # what it reads of the terms when it joins
+        await joined.record_store.prepare("s", 2)  # what it reads of the terms when it joins
         joined.ready = True
-        await old.st.ping(joined.id, "p3")
+        await old.store.ping(joined.id, "p3")
         assert not old.fresh() and not old.may_order()
 
     run(go())
--- a/tests/jobs/test_record_store.py
+++ b/tests/jobs/test_record_store.py
@@ -24,26 +24,26 @@
         await super().append(*raws)
 
 
-def rec(kind, by=1, body=b"{}", **more):
+def record(kind, by=1, body=b"{}", **more):
     head = {"k": kind, "lot": "l", "run": "m", "by": by, **more}
     return Record(head, body)
 
 
-LOT, END, NOTE = rec("L"), rec("E"), rec("O", lot="", iid="i", term=1, t=1.5)
-RESULT = rec("R", pos=0, term=1, item="i", t=2.5)
-SNAPSHOT, UPDATE = (rec(k, lot="window|p", part="p", term=1, se=1, n=n) for k, n in (("S", 0), ("U", 1)))
+LOT, END, NOTE = record("L"), record("E"), record("O", lot="", iid="i", term=1, t=1.5)
+RESULT = record("R", pos=0, term=1, item="i", t=2.5)
+SNAPSHOT, UPDATE = (record(k, lot="window|p", part="p", term=1, se=1, n=n) for k, n in (("S", 0), ("U", 1)))
 ALL = {"lot": LOT, "result": RESULT, "end": END, "order": NOTE, "snapshot": SNAPSHOT, "update": UPDATE}
 
 
-def store(book, clock):
-    made = RecordStore(book, clock, Counters())
-    made.load(book.raws)
+def store(wal, clock):
+    made = RecordStore(wal, clock, Counters())
+    made.load(wal.raws)
     return made
 
 
-def told(shelf):
+def told(record_store):
     """All that others may hear of, but for the times of orders."""
-    return shelf.told("m"), dict(shelf.promised), shelf.id
+    return record_store.told("m"), dict(record_store.promised), record_store.id
 
 
 async def settled(*tasks):
@@ -55,16 +55,16 @@
 @pytest.mark.parametrize("record", ALL.values(), ids=ALL)
 def test_a_record_whose_write_failed_is_neither_told_nor_acknowledged(run, clock, record):
     async def go():
-        book = Book()
-        shelf = store(book, clock)
-        before, book.failing = told(shelf), True
+        wal = Book()
+        record_store = store(wal, clock)
+        before, wal.failing = told(record_store), True
         for _ in range(2):
             with pytest.raises(LogError):
-                await shelf.append([record])
-            assert told(shelf) == before
-        book.failing = False
-        assert await shelf.append([record]) == [True]
-        assert told(shelf) != before and told(store(book, clock)) == told(shelf)
+                await record_store.append([record])
+            assert told(record_store) == before
+        wal.failing = False
+        assert await record_store.append([record]) == [True]
+        assert told(record_store) != before and told(store(wal, clock)) == told(record_store)
 
     run(go())
 
@@ -73,38 +73,38 @@
 def test_a_record_on_its_way_is_not_told_and_its_copies_share_its_fate(run, clock, record):
     async def go():
         for failing in (True, False):
-            book = Book()
-            shelf = store(book, clock)
-            before, book.gate = told(shelf), asyncio.Event()
-            tries = [asyncio.ensure_future(shelf.append([record])) for _ in range(3)]
-            assert await settled(*tries) == [False] * 3 and told(shelf) == before
+            wal = Book()
+            record_store = store(wal, clock)
+            before, wal.gate = told(record_store), asyncio.Event()
+            tries = [asyncio.ensure_future(record_store.append([record])) for _ in range(3)]
+            assert await settled(*tries) == [False] * 3 and told(record_store) == before
             tries[0].cancel()  # who waits may go; the write goes on
-            book.failing = failing
-            book.gate.set()
+            wal.failing = failing
+            wal.gate.set()
             out = await asyncio.gather(*tries[1:], return_exceptions=True)
             assert [type(x) for x in out] == [LogError if failing else list] * 2
-            assert told(store(book, clock)) == told(shelf) and (told(shelf) == before) is failing
+            assert told(store(wal, clock)) == told(record_store) and (told(record_store) == before) is failing
             written = 0 if failing else 2  # the promise and the record, once
-            assert record.place() is None or len(book.raws) == written
+            assert record.place() is None or len(wal.raws) == written
 
     run(go())
 
 
 def test_a_promise_counts_once_it_is_synced(run, clock):
     async def go():
-        book = Book()
-        shelf = store(book, clock)
-        book.failing = True
+        wal = Book()
+        record_store = store(wal, clock)
+        wal.failing = True
         for _ in range(2):
             with pytest.raises(LogError):
-                await shelf.prepare("m", 3)
-        assert shelf.promised == {} and not book.raws
-        book.failing, book.gate = False, asyncio.Event()
-        tries = [asyncio.ensure_future(shelf.prepare("m", 3)) for _ in range(2)]
-        assert await settled(*tries) == [False, False] and shelf.promised == {}
-        book.gate.set()
-        assert [out["ok"] for out in await asyncio.gather(*tries)] == [True, True] and len(book.raws) == 1
-        assert store(book, clock).promised == {"m": 3}
+                await record_store.prepare("m", 3)
+        assert record_store.promised == {} and not wal.raws
+        wal.failing, wal.gate = False, asyncio.Event()
+        tries = [asyncio.ensure_future(record_store.prepare("m", 3)) for _ in range(2)]
+        assert await settled(*tries) == [False, False] and record_store.promised == {}
+        wal.gate.set()
+        assert [out["ok"] for out in await asyncio.gather(*tries)] == [True, True] and len(wal.raws) == 1
+        assert store(wal, clock).promised == {"m": 3}
 
     run(go())
 
@@ -122,21 +122,21 @@
 @pytest.mark.parametrize("calls, answers, heard", RACES)
 def test_a_term_that_rises_while_a_record_is_written(run, clock, calls, answers, heard):
     async def go():
-        book, seen = Book(), []
-        shelf = store(book, clock)
-        book.gate = asyncio.Event()
+        wal, seen = Book(), []
+        record_store = store(wal, clock)
+        wal.gate = asyncio.Event()
 
         async def call(what, term):
             if what == "put":
-                return await shelf.append([rec("L", by=term)])
-            out = await shelf.prepare("m", term)
+                return await record_store.append([record("L", by=term)])
+            out = await record_store.prepare("m", term)
             if out["ok"]:
                 seen.append("l" in out["lots"])
             return out["ok"]
 
         tasks = [asyncio.ensure_future(call(*c)) for c in calls]
         await settled()
-        book.gate.set()
+        wal.gate.set()
         out = await asyncio.gather(*tasks)
         assert out == answers and (heard is None or seen[-1] is heard)
 
@@ -146,25 +146,25 @@
 @pytest.mark.parametrize("order", [[SNAPSHOT, UPDATE], [UPDATE, SNAPSHOT], [UPDATE]])
 def test_a_delta_that_is_acknowledged_is_kept_also_ahead_of_its_snapshot(run, clock, order):
     async def go():
-        book = Book()
-        shelf = store(book, clock)
+        wal = Book()
+        record_store = store(wal, clock)
         for record in order:
-            assert await shelf.append([record]) == [True]
+            assert await record_store.append([record]) == [True]
         kinds = ["S", "U"][2 - len(order) :]
-        for one in (shelf, store(book, clock)):
+        for one in (record_store, store(wal, clock)):
             assert [head["k"] for head, _ in one.told("m")["windows"]] == kinds
-        book.raws = list(shelf.snapshot())
-        assert told(store(book, clock))[0]["windows"] == shelf.told("m")["windows"]
+        wal.raws = list(record_store.snapshot())
+        assert told(store(wal, clock))[0]["windows"] == record_store.told("m")["windows"]
 
     run(go())
 
 
 def real(disk, clock, **more):
     log = WriteAheadLog("/data", "store", files=disk, worker=InlineWorker(), sleep=lambda s: asyncio.sleep(0), **more)
-    shelf = RecordStore(log, clock, Counters())
-    shelf.load(log.load())
+    record_store = RecordStore(log, clock, Counters())
+    record_store.load(log.load())
     log.start()
-    return shelf
+    return record_store
 
 
 @pytest.mark.parametrize("turns", range(12))
@@ -172,23 +172,29 @@
 def test_a_rewrite_amid_writes_loses_nothing_acknowledged(run, clock, turns, broken):
     async def go():
         disk = SimDisk()
-        shelf = real(disk, clock)
-        await shelf.take_id("s")
+        record_store = real(disk, clock)
+        await record_store.take_id("s")
         disk.fails = lambda kind, n: broken and kind == "datasync" and n == 3
-        tasks = [asyncio.ensure_future(shelf.append([rec("R", by=n + 1, pos=n, term=1, item="i")])) for n in range(4)]
+        tasks = [
+            asyncio.ensure_future(record_store.append([record("R", by=n + 1, pos=n, term=1, item="i")]))
+            for n in range(4)
+        ]
         for _ in range(turns):
             await asyncio.sleep(0)
-        tasks += [asyncio.ensure_future(shelf.book.rewrite())]
-        tasks += [asyncio.ensure_future(shelf.append([rec("R", by=9, pos=n, term=1, item="i")])) for n in range(4, 6)]
+        tasks += [asyncio.ensure_future(record_store.wal.rewrite())]
+        tasks += [
+            asyncio.ensure_future(record_store.append([record("R", by=9, pos=n, term=1, item="i")]))
+            for n in range(4, 6)
+        ]
         await asyncio.gather(*tasks, return_exceptions=True)
-        while shelf.book.broken:
+        while record_store.wal.broken:
             await asyncio.sleep(0)
-        await shelf.append([END])
-        await shelf.book.close()
+        await record_store.append([END])
+        await record_store.wal.close()
         disk.power(0)
         again = real(disk, clock)
-        assert told(again) == told(shelf) and again.id == "s"
-        await again.book.close()
+        assert told(again) == told(record_store) and again.id == "s"
+        await again.wal.close()
 
     run(go())
 
@@ -199,23 +205,23 @@
     async def go():
         disk = SimDisk()
         try:
-            shelf = real(disk, clock)
-            shelf.book.snapshot = None  # nothing mends the log by itself
+            record_store = real(disk, clock)
+            record_store.wal.snapshot = None  # nothing mends the log by itself
             disk.fails = lambda k, n: k == kind and n >= nth
-            for change in (shelf.take_id("one"), shelf.append([LOT]), shelf.start_over("two")):
-                before = told(shelf)
+            for change in (record_store.take_id("one"), record_store.append([LOT]), record_store.start_over("two")):
+                before = told(record_store)
                 try:
                     await change
                 except LogError:
-                    assert told(shelf) == before
-            told_last = told(shelf)
-            await shelf.book.close()
+                    assert told(record_store) == before
+            told_last = told(record_store)
+            await record_store.wal.close()
         except LogError:
             return
         disk.power(0)
         again = real(disk, clock)
         assert told(again) == told_last
-        await again.book.close()
+        await again.wal.close()
 
     run(go())
 
@@ -223,11 +229,11 @@
 @pytest.mark.parametrize("limit, size, taken", [(0, 90_000, True), (100_000, 500, True), (100_000, 60_000, None)])
 def test_a_new_lot_leaves_the_reserve(run, clock, limit, size, taken):
     async def go():
-        shelf = real(SimDisk(), clock, limit_bytes=limit)
-        assert await shelf.append([rec("L", body=bytes(size)), RESULT, END]) == [taken, True, True]
-        assert await shelf.append([rec("L", body=bytes(size))]) == [taken]
-        assert shelf.admits("other", size) is (taken is True)
-        assert (await shelf.prepare("m", 4))["ok"]
-        await shelf.book.close()
+        record_store = real(SimDisk(), clock, limit_bytes=limit)
+        assert await record_store.append([record("L", body=bytes(size)), RESULT, END]) == [taken, True, True]
+        assert await record_store.append([record("L", body=bytes(size))]) == [taken]
+        assert record_store.admits("other", size) is (taken is True)
+        assert (await record_store.prepare("m", 4))["ok"]
+        await record_store.wal.close()
 
     run(go())
--- a/tests/membership/test_config_watcher.py
+++ b/tests/membership/test_config_watcher.py
@@ -17,11 +17,11 @@
     return ConfigWatcher(BOOT, {"id": "n"}, ConnectionPool(Counters()), StateBoard(), HandClock(), Counters())
 
 
-def news(parts=None, roll=(), life="a", turn=1, cores=("1.1.1.1:7",)):
+def feed_answer(shards=None, registry=(), incarnation="a", turn=1, cores=("1.1.1.1:7",)):
     return {
-        "parts": {p: {"stamp": s, "val": {"n": s}} for p, s in (parts or {}).items()},
-        "roll": list(roll),
-        "life": life,
+        "parts": {p: {"stamp": s, "val": {"n": s}} for p, s in (shards or {}).items()},
+        "roll": list(registry),
+        "life": incarnation,
         "turn": turn,
         "cores": list(cores),
         "busy": {},
@@ -32,45 +32,47 @@
 def test_parts_only_rise(stamps, held):
     r = reader()
     for n, s in enumerate(stamps):
-        r.fold(news({"plan": s}, life=f"core-{n}"))
-    assert r.stamps == {"plan": held} and r.parts["plan"] == {"n": held}
-    assert r.ctr.all["news.late_part"] == sum(s <= max(stamps[:n], default=0) for n, s in enumerate(stamps))
+        r.fold(feed_answer({"plan": s}, incarnation=f"core-{n}"))
+    assert r.stamps == {"plan": held} and r.shards["plan"] == {"n": held}
+    assert r.counters.all["news.late_part"] == sum(s <= max(stamps[:n], default=0) for n, s in enumerate(stamps))
 
 
-def ent(state, seq, **kw):
-    return {"id": "r", "state": state, "seq": seq, "addr": "x:1", **kw}
+def entry(state, seq, **kwargs):
+    return {"id": "r", "state": state, "seq": seq, "addr": "x:1", **kwargs}
 
 
 @pytest.mark.parametrize(
     "ents, state, seq, late",
     [
-        ([ent("up", 1), ent("up", 2)], "up", 2, 0),
-        ([ent("up", 2), ent("up", 1)], "up", 2, 1),  # from a control node that lags
-        ([ent("draining", 3), ent("up", 9)], "draining", 3, 1),  # told by one that did not hear of the draining
-        ([ent("gone", 3), ent("up", 9)], "gone", 3, 1),
-        ([ent("up", 4), ent("gone", 2)], "gone", 2, 0),
-        ([ent("up", 4), ent("draining", 5), ent("gone", 6)], "gone", 6, 0),
+        ([entry("up", 1), entry("up", 2)], "up", 2, 0),
+        ([entry("up", 2), entry("up", 1)], "up", 2, 1),  # from a control node that lags
+        ([entry("draining", 3), entry("up", 9)], "draining", 3, 1),  # told by one that did not hear of the draining
+        ([entry("gone", 3), entry("up", 9)], "gone", 3, 1),
+        ([entry("up", 4), entry("gone", 2)], "gone", 2, 0),
+        ([entry("up", 4), entry("draining", 5), entry("gone", 6)], "gone", 6, 0),
     ],
 )
 def test_replicas_never_come_back_from_leaving(ents, state, seq, late):
     r = reader()
     for n, e in enumerate(ents):
-        r.fold(news(roll=[e], life=f"core-{n}"))
-    assert (r.roll["r"]["state"], r.roll["r"]["seq"]) == (state, seq) and r.ctr.all["news.late_entry"] == late
+        r.fold(feed_answer(registry=[e], incarnation=f"core-{n}"))
+    assert (r.registry["r"]["state"], r.registry["r"]["seq"]) == (state, seq) and r.counters.all[
+        "news.late_entry"
+    ] == late
 
 
 def test_addresses_are_learnt_and_the_one_that_answers_is_kept():
     r = reader()
     r.addrs, r.at = ["1.1.1.1:7", "1.1.1.2:7"], 1
-    r.fold(news(cores=["1.1.1.3:7", "1.1.1.1:7"]))
+    r.fold(feed_answer(cores=["1.1.1.3:7", "1.1.1.1:7"]))
     assert set(r.addrs) == {"1.1.1.3:7", "1.1.1.1:7", "1.1.1.2:7"} and r.addrs[r.at] == "1.1.1.2:7"
-    r.fold(news(cores=[]))
+    r.fold(feed_answer(cores=[]))
     assert len(r.addrs) == 3
 
 
 def test_entries_are_taken_once():
     r = reader()
-    r.fold(news(roll=[ent("up", 1)]))
+    r.fold(feed_answer(registry=[entry("up", 1)]))
     assert [e["seq"] for e in r.take_roll()] == [1] and r.take_roll() == []
 
 
@@ -81,31 +83,31 @@
         self.clock, self.held, self.heard = clock, dict(held), {}
         self.lives, self.ids, self.asked, self.takes = dict.fromkeys(held, "l1"), {}, [], 0.0
 
-    def to(self, addr):
-        self.addr = addr
+    def to(self, address):
+        self.address = address
         return self
 
-    async def call(self, verb, doc=None, body=b"", secs=1.0, to=""):
-        addr = self.addr
-        self.asked.append(addr)
+    async def call(self, verb, doc=None, body=b"", timeout_s=1.0, to=""):
+        address = self.address
+        self.asked.append(address)
         self.clock.at += self.takes
-        if self.held[addr] is None:
-            raise CallError(addr, sent=True)
-        if to and to != self.ids.get(addr):
+        if self.held[address] is None:
+            raise CallError(address, sent=True)
+        if to and to != self.ids.get(address):
             return 2008, {"Meant": to}, b""
         if verb == "do":
             return 2008, "dropped", b""
-        parts = {"plan": self.held[addr]} if self.held[addr] > doc["stamps"].get("plan", 0) else {}
-        out = news(parts, life=self.lives[addr], cores=[])
-        newest = max(self.held[addr], self.heard.get(addr, 0))
-        return 1000, {**out, "newest": {"plan": newest}, "id": self.ids.get(addr, "")}, b""
+        shards = {"plan": self.held[address]} if self.held[address] > doc["stamps"].get("plan", 0) else {}
+        out = feed_answer(shards, incarnation=self.lives[address], cores=[])
+        newest = max(self.held[address], self.heard.get(address, 0))
+        return 1000, {**out, "newest": {"plan": newest}, "id": self.ids.get(address, "")}, b""
 
 
 def reading(held):
     r, clock = reader(), HandClock()
-    r.clock, r.lines = clock, Nodes(clock, held)
+    r.clock, r.connections = clock, Nodes(clock, held)
     r.addrs, r.at = list(held), 0
-    return r, r.lines, clock
+    return r, r.connections, clock
 
 
 @pytest.mark.parametrize(
@@ -137,7 +139,7 @@
         r.at = 1
         for _ in range(3):
             await r.ask_once()
-        assert nodes.asked == ["a", "b", "c", "c"] and r.stamps["plan"] == 6 and r.ctr.all["news.behind"] == 1
+        assert nodes.asked == ["a", "b", "c", "c"] and r.stamps["plan"] == 6 and r.counters.all["news.behind"] == 1
 
     run(go())
 
@@ -167,7 +169,9 @@
     async def go():
         r, nodes, _ = reading({"a": 5})
         r.hold_s, nodes.takes = 1.0, takes
-        assert await r.ask_once() and ("plan" in r.stamps) is folded and r.ctr.all["news.asked_anew"] == (not folded)
+        assert (
+            await r.ask_once() and ("plan" in r.stamps) is folded and r.counters.all["news.asked_anew"] == (not folded)
+        )
         nodes.takes = 0.0
         assert await r.ask_once() and r.stamps["plan"] == 5 and nodes.asked == ["a", "a"]
 
@@ -177,11 +181,16 @@
 def test_an_answer_of_a_life_that_ended_is_not_folded(run):
     async def go():
         r, nodes, _ = reading({"a": 5, "b": 9})
-        for life, version in (("l1", 5), ("l2", 6), ("l1", 7)):
-            nodes.lives["a"], nodes.held["a"] = life, version
+        for incarnation, version in (("l1", 5), ("l2", 6), ("l1", 7)):
+            nodes.lives["a"], nodes.held["a"] = incarnation, version
             r.at = 0
             await r.ask_once()
-        assert r.stamps["plan"] == 6 and r.life == "l2" and r.ctr.all["news.old_life"] == 1 and r.candidates()[0] == "b"
+        assert (
+            r.stamps["plan"] == 6
+            and r.incarnation == "l2"
+            and r.counters.all["news.old_life"] == 1
+            and r.candidates()[0] == "b"
+        )
 
     run(go())
 
@@ -192,7 +201,7 @@
         nodes.ids = {"a": "n1", "b": "n2"}
         assert await r.ask_once()
         nodes.ids["a"] = "n3"
-        assert not await r.ask_once() and r.ctr.all["news.other_node"] == 1  # it asks elsewhere
+        assert not await r.ask_once() and r.counters.all["news.other_node"] == 1  # it asks elsewhere
         assert await r.ask_once() and r.sources.node("a") == "n3"
         assert await r.do("plan", "x", {}) == (2008, "dropped") and nodes.asked[-1] == "a"  # the command's own word
 
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -5,8 +5,8 @@
 from archhatch.health.outlier_detection import STATES
 
 
-def ent(state="up", seq=1, **kw):
-    return {"id": "r", "seq": seq, "state": state, "models": {}, **kw}
+def entry(state="up", seq=1, **kwargs):
+    return {"id": "r", "seq": seq, "state": state, "models": {}, **kwargs}
 
 
 @pytest.mark.parametrize(
@@ -22,39 +22,39 @@
     ],
 )
 def test_roll_order_of_beats(beats, taken, state):
-    roll = ReplicaRegistry()
-    assert [roll.beat(ent(s, q), 1.0) for s, q in beats] == taken
-    assert roll.all["r"]["state"] == state
+    registry = ReplicaRegistry()
+    assert [registry.beat(entry(s, q), 1.0) for s, q in beats] == taken
+    assert registry.all["r"]["state"] == state
 
 
 def test_roll_turn_moves_only_for_what_matters():
-    roll = ReplicaRegistry()
-    roll.beat(ent(seq=1), 0.0)
-    turn = roll.turn
-    roll.beat(ent(seq=2), 1.0)
-    assert roll.turn == turn and roll.since(turn) == []
-    assert [e["age"] for e in roll.beats_since(1, 3.0)] == [2.0]
-    roll.beat(ent(seq=3, models={"m": 2}), 2.0)
-    assert roll.since(turn) == [roll.all["r"]]
+    registry = ReplicaRegistry()
+    registry.beat(entry(seq=1), 0.0)
+    turn = registry.turn
+    registry.beat(entry(seq=2), 1.0)
+    assert registry.turn == turn and registry.since(turn) == []
+    assert [e["age"] for e in registry.beats_since(1, 3.0)] == [2.0]
+    registry.beat(entry(seq=3, models={"m": 2}), 2.0)
+    assert registry.since(turn) == [registry.all["r"]]
 
 
 @pytest.mark.parametrize("now, silent, turned", [(2.0, False, False), (4.0, True, True)])
 def test_sweep_marks_silence(now, silent, turned):
-    roll = ReplicaRegistry()
-    roll.beat(ent(seq=1), 0.0)
-    assert roll.sweep(now, 3.0) is turned
-    assert roll.all["r"].get("silent", False) is silent
+    registry = ReplicaRegistry()
+    registry.beat(entry(seq=1), 0.0)
+    assert registry.sweep(now, 3.0) is turned
+    assert registry.all["r"].get("silent", False) is silent
     if silent:
-        roll.beat(ent(seq=2), 5.0)
-        roll.sweep(5.1, 3.0)
-        assert not roll.all["r"].get("silent", False)
+        registry.beat(entry(seq=2), 5.0)
+        registry.sweep(5.1, 3.0)
+        assert not registry.all["r"].get("silent", False)
 
 
 def test_sweep_drops_what_is_long_gone():
-    roll = ReplicaRegistry()
-    roll.beat(ent("gone", 1), 0.0)
-    roll.sweep(1000.0, 3.0)
-    assert roll.all == {}
+    registry = ReplicaRegistry()
+    registry.beat(entry("gone", 1), 0.0)
+    registry.sweep(1000.0, 3.0)
+    assert registry.all == {}
 
 
 def test_rank_moves_only_what_it_must():
--- a/tests/region_policy/test_region_policy.py
+++ b/tests/region_policy/test_region_policy.py
@@ -34,7 +34,7 @@
 """
 
 
-def lane(name="quote", host="h", prefix="/q/", kind="idempotent"):
+def route(name="quote", host="h", prefix="/q/", kind="idempotent"):
     return SimpleNamespace(name=name, host=host, prefix=prefix, kind=kind)
 
 
@@ -215,12 +215,12 @@
 # -- commands
 
 
-def do(val, cmd, /, **args):
-    return commands.run(val, cmd, args)
+def do(value, cmd, /, **args):
+    return commands.run(value, cmd, args)
 
 
-def put(val, text=GOOD, match=0):
-    code, _, did = do(val, "policy.put", text=text, match=match, zones=ZONES)
+def put(value, text=GOOD, match=0):
+    code, _, did = do(value, "policy.put", text=text, match=match, zones=ZONES)
     return code, did
 
 
@@ -228,44 +228,44 @@
     return text.replace("version = 1", f"version = {n}")
 
 
-def out(val, region="attica", rule="quotes", **kw):
-    return do(val, "region.out", region=region, rule=rule, by="watch", reason="quiet", **kw)
+def out(value, region="attica", rule="quotes", **kwargs):
+    return do(value, "region.out", region=region, rule=rule, by="watch", reason="quiet", **kwargs)
 
 
-def back(val, region="attica", rule="quotes", **kw):
-    return do(val, "region.back", region=region, rule=rule, by="watch", reason="well", **kw)
+def back(value, region="attica", rule="quotes", **kwargs):
+    return do(value, "region.back", region=region, rule=rule, by="watch", reason="well", **kwargs)
 
 
 def test_put_once_and_again():
-    val = {}
-    assert put(val) == (1000, True) and put(val) == (1000, False)
-    assert put(val, version(5), 1) == (1000, True)
-    assert put(val) == (1000, False) and val["policy"]["version"] == 5  # taken long ago, another stands on it
-    assert do(val, "policy.get")[1]["Text"] == version(5)
+    value = {}
+    assert put(value) == (1000, True) and put(value) == (1000, False)
+    assert put(value, version(5), 1) == (1000, True)
+    assert put(value) == (1000, False) and value["policy"]["version"] == 5  # taken long ago, another stands on it
+    assert do(value, "policy.get")[1]["Text"] == version(5)
 
 
 @pytest.mark.parametrize("ver, match, code", [(4, 2, 1000), (4, 1, 2011), (4, 3, 2011), (2, 2, 2005), (1, 2, 2005)])
 def test_match_and_version(ver, match, code):
-    val = {}
-    put(val, version(2))
-    got, did = put(val, version(ver) + "# other\n", match)
-    assert got == code and did is (code == 1000) and val["policy"]["version"] == (ver if did else 2)
+    value = {}
+    put(value, version(2))
+    got, did = put(value, version(ver) + "# other\n", match)
+    assert got == code and did is (code == 1000) and value["policy"]["version"] == (ver if did else 2)
 
 
 def test_race_on_one_version_has_one_winner():
-    val = {}
-    put(val)
-    assert put(val, version(2), 1) == (1000, True) and put(val, version(3), 1) == (2011, False)
-    assert val["policy"]["version"] == 2
+    value = {}
+    put(value)
+    assert put(value, version(2), 1) == (1000, True) and put(value, version(3), 1) == (2011, False)
+    assert value["policy"]["version"] == 2
 
 
 @pytest.mark.parametrize("what", sorted(BAD))
 def test_invalid_is_never_in_force(what):
-    val = {}
-    put(val)
-    before = copy.deepcopy(val)
-    assert put(val, BAD[what][0].replace("version = 1", "version = 9"), 1) == (2101, False)
-    assert val == before
+    value = {}
+    put(value)
+    before = copy.deepcopy(value)
+    assert put(value, BAD[what][0].replace("version = 1", "version = 9"), 1) == (2101, False)
+    assert value == before
 
 
 @pytest.mark.parametrize(
@@ -279,18 +279,18 @@
     ],
 )
 def test_without_a_policy_nothing_is_kept(name, args):
-    val = {"plan": {"Revision": 1}}
-    assert do(val, name, **args)[0] == 2103 and val == {"plan": {"Revision": 1}}
-    assert "policy" not in news_view("plan", val) and "regions" not in news_view("plan", val)
+    value = {"plan": {"Revision": 1}}
+    assert do(value, name, **args)[0] == 2103 and value == {"plan": {"Revision": 1}}
+    assert "policy" not in news_view("plan", value) and "regions" not in news_view("plan", value)
 
 
 def test_out_and_back_raise_the_epoch_once():
-    val = {}
-    put(val)
-    assert out(val) == (1000, {"Epoch": 1}, True) and out(val) == (1000, {"Epoch": 1}, False)
-    assert back(val) == (1000, {"Epoch": 2}, True) and back(val) == (1000, {"Epoch": 2}, False)
-    assert [row[:3] for row in val["regions"]["attica"]["log"]] == [[1, "quotes", "out"], [2, "quotes", "in"]]
-    row = next(r for r in do(val, "region.list")[1]["RegionTable"] if r["Name"] == "attica")
+    value = {}
+    put(value)
+    assert out(value) == (1000, {"Epoch": 1}, True) and out(value) == (1000, {"Epoch": 1}, False)
+    assert back(value) == (1000, {"Epoch": 2}, True) and back(value) == (1000, {"Epoch": 2}, False)
+    assert [row[:3] for row in value["regions"]["attica"]["log"]] == [[1, "quotes", "out"], [2, "quotes", "in"]]
+    row = next(r for r in do(value, "region.list")[1]["RegionTable"] if r["Name"] == "attica")
     assert row["OperState"] == "in" and row["Log"][0]["Reason"] == "quiet" and row["ZoneList"] == ["z1"]
 
 
@@ -307,70 +307,75 @@
     ],
 )
 def test_a_word_on_an_old_epoch_counts_for_nothing(cmd, before, epoch, code):
-    val = {}
-    put(val)
+    value = {}
+    put(value)
     for b in before:
-        b(val)
-    was = copy.deepcopy(val)
-    got, _, did = cmd(val, epoch=epoch)
-    assert got == code and did is (code == 1000) and (did or val == was)
+        b(value)
+    was = copy.deepcopy(value)
+    got, _, did = cmd(value, epoch=epoch)
+    assert got == code and did is (code == 1000) and (did or value == was)
 
 
 def test_unknown_region():
-    val = {}
-    put(val)
-    assert out(val, "sparta")[0] == 2102 and back(val, "sparta")[0] == 2102 and "regions" not in val
+    value = {}
+    put(value)
+    assert out(value, "sparta")[0] == 2102 and back(value, "sparta")[0] == 2102 and "regions" not in value
 
 
 def test_flaps_are_counted_up_to_a_most_and_forgotten_when_calm():
-    val, seen = {}, []
-    put(val)
+    value, seen = {}, []
+    put(value)
     for n in range(7):
-        out(val)
-        seen.append(val["regions"]["attica"]["flaps"]["quotes"])
-        back(val)
+        out(value)
+        seen.append(value["regions"]["attica"]["flaps"]["quotes"])
+        back(value)
     assert seen == [1, 2, 3, 4, 5, 5, 5]
-    out(val, calm=True)
-    assert val["regions"]["attica"]["flaps"]["quotes"] == 1
+    out(value, calm=True)
+    assert value["regions"]["attica"]["flaps"]["quotes"] == 1
 
 
 def test_operators_word_stands_against_the_watch_and_ends_its_findings():
-    val = {}
-    put(val)
-    out(val, rule="*")
-    back(val)
-    assert set(val["regions"]["attica"]["out"]) == {"*"}
-    out(val)
-    assert set(val["regions"]["attica"]["out"]) == {"*", "quotes"}
-    assert back(val, rule="*")[2] and val["regions"]["attica"]["out"] == {}
-    assert val["regions"]["attica"]["epoch"] == 4
+    value = {}
+    put(value)
+    out(value, rule="*")
+    back(value)
+    assert set(value["regions"]["attica"]["out"]) == {"*"}
+    out(value)
+    assert set(value["regions"]["attica"]["out"]) == {"*", "quotes"}
+    assert back(value, rule="*")[2] and value["regions"]["attica"]["out"] == {}
+    assert value["regions"]["attica"]["epoch"] == 4
 
 
 def test_a_new_version_drops_findings_that_have_no_place_any_more():
-    val = {}
-    put(val)
-    out(val), out(val, rule="rollouts"), out(val, rule="*")
-    put(val, version(2).replace('name = "quotes"', 'name = "prices"').replace('like = "quotes"', 'like = "prices"'), 1)
-    assert set(val["regions"]["attica"]["out"]) == {"rollouts", "*"} and val["regions"]["attica"]["epoch"] == 4
+    value = {}
+    put(value)
+    out(value), out(value, rule="rollouts"), out(value, rule="*")
+    put(
+        value, version(2).replace('name = "quotes"', 'name = "prices"').replace('like = "quotes"', 'like = "prices"'), 1
+    )
+    assert set(value["regions"]["attica"]["out"]) == {"rollouts", "*"} and value["regions"]["attica"]["epoch"] == 4
 
 
 def test_zones_are_added_and_never_moved():
-    val = {}
-    put(val)
-    assert do(val, "policy.zones", zones={"z1": "crete", "z9": "crete"})[2] is True
-    assert val["policy"]["zones"] == {**ZONES, "z9": "crete"} and do(val, "policy.zones", zones={"z9": "x"})[2] is False
+    value = {}
+    put(value)
+    assert do(value, "policy.zones", zones={"z1": "crete", "z9": "crete"})[2] is True
+    assert (
+        value["policy"]["zones"] == {**ZONES, "z9": "crete"}
+        and do(value, "policy.zones", zones={"z9": "x"})[2] is False
+    )
 
 
 # -- placement
 
 
 def placement(text=GOOD, **facts):
-    val = {}
-    put(val, text)
+    value = {}
+    put(value, text)
     for region, rule in facts.items():
-        out(val, region, rule)
+        out(value, region, rule)
     p = Placement()
-    p.fold(news_view("plan", val))
+    p.fold(news_view("plan", value))
     return p
 
 
@@ -388,26 +393,26 @@
 )
 def test_first_region_that_is_in_serves(facts, zones, ranks):
     p = placement(**facts)
-    assert p.zones(lane()) == zones and [p.rank(lane(), z) for z in ZONES] == ranks
-    assert [p.allows(lane(), z) for z in ZONES] == [z in zones for z in ZONES]
-    assert [p.allows_store(lane(), z) for z in ZONES] == [True, True, False]
+    assert p.zones(route()) == zones and [p.rank(route(), z) for z in ZONES] == ranks
+    assert [p.allows(route(), z) for z in ZONES] == [z in zones for z in ZONES]
+    assert [p.allows_store(route(), z) for z in ZONES] == [True, True, False]
 
 
 @pytest.mark.parametrize("zone", ["", "z9"])
 def test_a_zone_of_no_known_region_is_forbidden(zone):
     p = placement()
-    assert not p.allows(lane(), zone) and p.rank(lane(), zone) is None and not p.allows_store(lane(), zone)
+    assert not p.allows(route(), zone) and p.rank(route(), zone) is None and not p.allows_store(route(), zone)
 
 
 @pytest.mark.parametrize(
     "what, rule",
     [
-        (lane(), "quotes"),
-        (lane("yard-1"), "quotes"),
-        (lane("x", kind="rollout"), "rollouts"),
-        (lane("quote", kind="rollout"), "quotes"),
-        (lane("x"), None),
-        (lane("Quote"), None),
+        (route(), "quotes"),
+        (route("yard-1"), "quotes"),
+        (route("x", kind="rollout"), "rollouts"),
+        (route("quote", kind="rollout"), "quotes"),
+        (route("x"), None),
+        (route("Quote"), None),
     ],
 )
 def test_the_narrower_rule_binds(what, rule):
@@ -435,12 +440,12 @@
 @pytest.mark.parametrize(
     "what, rule",
     [
-        (lane("x", "i"), "all"),
-        (lane("x", "i", kind="batch"), "class"),
-        (lane("x", kind="batch"), "host"),
-        (lane("x", prefix="/a/b/"), "place"),
-        (lane("r2", prefix="/a/"), "pattern"),
-        (lane("r1"), "name"),
+        (route("x", "i"), "all"),
+        (route("x", "i", kind="batch"), "class"),
+        (route("x", kind="batch"), "host"),
+        (route("x", prefix="/a/b/"), "place"),
+        (route("r2", prefix="/a/"), "pattern"),
+        (route("r1"), "name"),
     ],
 )
 def test_ranks_of_matches(what, rule):
@@ -449,11 +454,11 @@
 
 def test_off_without_a_policy_and_after_it_is_withdrawn():
     p = placement()
-    assert not p.allows(lane(), "z3")
+    assert not p.allows(route(), "z3")
     p.fold({"plan": {}})
-    assert p.policy is None and p.allows(lane(), "z3") and p.zones(lane()) is None
+    assert p.policy is None and p.allows(route(), "z3") and p.zones(route()) is None
     p.fold(None)
-    assert p.allows(lane(), "z3")
+    assert p.allows(route(), "z3")
 
 
 @pytest.mark.parametrize(
@@ -466,18 +471,18 @@
     ],
 )
 def test_explain(facts, asked, last):
-    val = {}
-    put(val)
+    value = {}
+    put(value)
     for region, rule in facts.items():
-        out(val, region, rule)
-    rows = explain(news_view("plan", val), lane(), asked)
+        out(value, region, rule)
+    rows = explain(news_view("plan", value), route(), asked)
     assert rows[-1] == last and "rule quotes of policy version 1" in rows[0] and "  never: crete" in rows
 
 
 # -- senders
 
 
-def picker(facts=None, text=GOOD):
+def load_balancer(facts=None, text=GOOD):
     p = LoadBalancer("z1", "me")
     p.fold(
         [
@@ -486,11 +491,11 @@
             for n in (1, 2)
         ]
     )
-    val = {}
-    put(val, text)
+    value = {}
+    put(value, text)
     for region in facts or ():
-        out(val, region, "*")
-    p.placement.fold(news_view("plan", val))
+        out(value, region, "*")
+    p.placement.fold(news_view("plan", value))
     return p
 
 
@@ -506,28 +511,28 @@
     ],
 )
 def test_a_pick_never_leaves_the_region_that_serves(out_now, tried, zone, code):
-    p = picker(out_now)
+    p = load_balancer(out_now)
     for t in p.all.values():  # however much better those elsewhere look
         if t.zone in ("z1", "z2"):
             t.under_way, t.silent = 50, True
             p.note(t, "vanished", 0.0)
-    got = p.pick("s", tried, 0.1, lane())
-    assert (got and got.zone) == zone and p.refusal("s", lane()) == code
-    assert p.pick("s", set(), 0.1, lane("x")).zone in ("z3", "") and p.refusal("s", lane("x")) == 3002
+    got = p.pick("s", tried, 0.1, route())
+    assert (got and got.zone) == zone and p.refusal("s", route()) == code
+    assert p.pick("s", set(), 0.1, route("x")).zone in ("z3", "") and p.refusal("s", route("x")) == 3002
 
 
 def test_picks_without_a_policy_are_what_they_were():
-    p = picker(text="version = 1\nrule = []\n")
+    p = load_balancer(text="version = 1\nrule = []\n")
     p.placement.fold({})
     for t in p.all.values():
         t.under_way = 0 if t.zone == "z3" else 3
-    assert p.pick("s", set(), 0.0, lane()) is p.pick("s", set(), 0.0) and p.pick("s", set(), 0.0).zone == "z3"
+    assert p.pick("s", set(), 0.0, route()) is p.pick("s", set(), 0.0) and p.pick("s", set(), 0.0).zone == "z3"
     p.note(p.all["z1-1"], "served", 1.0)
     assert p.proofs == {} and p.proved(2.0) == []
 
 
 def test_answers_are_told_once_and_only_under_a_policy():
-    p = picker()
+    p = load_balancer()
     p.note(p.all["z1-1"], "served", 1.0)
     p.note(p.all["z1-2"], "served", 3.0)
     p.note(p.all["z2-1"], "faulted", 3.0)
@@ -543,10 +548,10 @@
         if isinstance(node, ast.Call)
         and isinstance(node.func, ast.Attribute)
         and node.func.attr == "pick"
-        and "picker" in ast.unparse(node.func)
+        and "load_balancer" in ast.unparse(node.func)
     ]
     assert {name for name, _ in calls} >= {"forward.py", "relay.py", "scoring.py"}
-    assert all(ast.unparse(node.args[-1]) == "lane" and len(node.args) == 4 for _, node in calls)
+    assert all(ast.unparse(node.args[-1]) == "route" and len(node.args) == 4 for _, node in calls)
 
 
 @pytest.mark.parametrize(
--- a/tests/region_policy/test_regions_system.py
+++ b/tests/region_policy/test_regions_system.py
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 from tests.support.fakes import ROOT
-from tests.support.standins import LOG, Replica, World, lot, plan
+from tests.support.standins import LOG, Replica, World, batch_job, plan
 
 from archhatch.data_plane.edge import Edge
 
@@ -42,30 +42,30 @@
     """A replica that can be cut off with its region: killed (its connections reset), killed with the nodes beside it
     (whole), or dark (it takes requests and neither runs nor answers them until its region is back)."""
 
-    def __init__(self, *args, **kw):
-        super().__init__(*args, **kw)
+    def __init__(self, *args, **kwargs):
+        super().__init__(*args, **kwargs)
         self.lit, self.hold = asyncio.Event(), asyncio.Event()  # hold: for requests that are to be in their middle
         self.lit.set()
 
-    async def serve(self, req):
+    async def serve(self, request):
         if not self.lit.is_set():
             await self.lit.wait()
-            if req.transport is None or req.transport.is_closing():
+            if request.transport is None or request.transport.is_closing():
                 return aiohttp.web.Response(status=503)  # its caller gave up meanwhile; it drops the request
         try:
-            out = await super().serve(req)
-            if req.raw_path in ("/q/cut/held", "/n/cut/held") and self.zone == "z1":
+            out = await super().serve(request)
+            if request.raw_path in ("/q/cut/held", "/n/cut/held") and self.zone == "z1":
                 await self.hold.wait()  # it is at work on it
             return out
         except ConnectionResetError:
             return aiohttp.web.Response(status=500)  # cut off in the middle: nobody hears this
 
-    async def stream(self, req, head, mood):
+    async def stream(self, request, head, mood):
         if ".held" not in head["X-Archhatch-Request-Id"]:
-            return await super().stream(req, head, mood)
+            return await super().stream(request, head, mood)
         other = copy.copy(self)  # the same replica, with another gate for this stream
         other.gate = self.hold
-        return await Replica.stream(other, req, head, mood)
+        return await Replica.stream(other, request, head, mood)
 
     async def cut(self, how):
         if how == "dark":
@@ -83,7 +83,7 @@
             self.hold.set()
         else:
             self.srv = aiohttp.web.Server(self.serve, access_log=None)
-            host, port = self.addr.rsplit(":", 1)
+            host, port = self.address.rsplit(":", 1)
             self.site = await asyncio.get_running_loop().create_server(self.srv, host, int(port), reuse_address=True)
 
 
@@ -95,7 +95,7 @@
     async def begin(self):
         await self.start()
         self.up, self.tries, self.odd = set(), collections.Counter(), []
-        edge = Edge(dataclasses.replace(self.boot("edge", f"{self.net}.3.2"), zone="z2"), LOG)
+        edge = Edge(dataclasses.replace(self.node_settings("edge", f"{self.net}.3.2"), zone="z2"), LOG)
         await edge.start()
         self.edges = [self.edge, edge]
         assert await self.put_plan(plan(), 0) == 200
@@ -109,25 +109,25 @@
                     await self.beat(r)
         self.beats = asyncio.ensure_future(self.beat_on())
         for e in self.edges:
-            await self.until(e.board, "parts", lambda: e.state == "ready")
-            await self.until(e.board, "roll", lambda: len(e.picker.all) == len(self.replicas))
+            await self.until(e.state_board, "parts", lambda: e.state == "ready")
+            await self.until(e.state_board, "roll", lambda: len(e.load_balancer.all) == len(self.replicas))
         return self
 
     async def finish(self):
         self.beats.cancel()
         edge = self.edges[1]
-        await edge.crew.end()
-        edge.lines.end()
+        await edge.task_group.end()
+        edge.connections.end()
         await edge.window.close(0)
         await edge.door.close(0)
-        await edge.caller.close()
+        await edge.upstream_client.close()
         await self.end()
 
     async def beat_on(self):
         while True:
             for r in list(self.up):
                 await self.beat(r)
-            await self.edge.board.news("nothing", 0, 0.2)
+            await self.edge.state_board.wait_for_change("nothing", 0, 0.2)
 
     def of(self, region, service=None):
         return [r for r in self.replicas if ZONES[r.zone] == region and service in (None, r.service)]
@@ -140,11 +140,11 @@
         while True:
             async with self.http.request(
                 method, f"http://{self.net}.1.1:{self.control}{path}", data=body, headers=heads
-            ) as resp:
-                data = await resp.read()
-                if resp.status < 500:
-                    return resp.status, orjson.loads(data)
-            await self.edge.board.news("nothing", 0, 0.05)
+            ) as response:
+                data = await response.read()
+                if response.status < 500:
+                    return response.status, orjson.loads(data)
+            await self.edge.state_board.wait_for_change("nothing", 0, 0.05)
 
     def nodes(self):
         return [*self.edges, *self.stores.values()]
@@ -153,7 +153,7 @@
         """All edges and stores know of a region's being out (or in) for the rules."""
         for n in self.nodes():
             await self.until(
-                n.board,
+                n.state_board,
                 "parts",
                 lambda: (
                     n.placement.policy is not None
@@ -179,8 +179,8 @@
             try:
                 async with self.http.post(
                     f"http://{self.net}.3.{edge + 1}:{self.front}/{kind}/{phase}/{k}", data=key.encode(), headers=heads
-                ) as resp:
-                    status, data = resp.status, await resp.read()
+                ) as response:
+                    status, data = response.status, await response.read()
             except aiohttp.ClientError:
                 status = None if status is None or status == 200 else status
             if status == 200:
@@ -193,15 +193,15 @@
             if kind == "n" and status != 503:
                 self.odd.append((key, status))  # it may have run: never sent again
                 return
-            await self.edge.board.news("nothing", 0, 0.02)
+            await self.edge.state_board.wait_for_change("nothing", 0, 0.02)
 
-    async def lots(self, phase, k):
-        lid = f"{phase}.lot.{k}"
-        assert await self.hand_in(lid, lot(name=f"{lid}.")) == 202
-        self.check_job(lid, await self.read_all(lid))
+    async def batch_jobs(self, phase, k):
+        job_id = f"{phase}.lot.{k}"
+        assert await self.hand_in(job_id, batch_job(name=f"{job_id}.")) == 202
+        self.check_job(job_id, await self.read_all(job_id))
 
-    def check_job(self, lid, rows):
-        assert sorted(r["InstanceId"] for r in rows) == [f"{lid}.{g}-{n}" for g in (0, 1) for n in (0, 1)]
+    def check_job(self, job_id, rows):
+        assert sorted(r["InstanceId"] for r in rows) == [f"{job_id}.{g}-{n}" for g in (0, 1) for n in (0, 1)]
         for r in rows:
             assert r["OperState"] == "complete" and r["Score"].startswith("seal.c-"), r
             assert r["Text"] == "\n".join(f"{r['InstanceId']}/{n}" for n in (1, 2, 3, 4))
@@ -218,7 +218,7 @@
         async def trainer():
             k = 0
             while not enough(k * 4):
-                await self.lots(phase, k)
+                await self.batch_jobs(phase, k)
                 k += 1
 
         async with asyncio.TaskGroup() as tg:
@@ -282,11 +282,11 @@
             w.one("q", "cut", "held", 0),
             w.one("n", "cut", "held", 1),
             w.one("s", "cut", "held", 0),
-            w.lots("cut", "held"),
+            w.batch_jobs("cut", "held"),
         )
     ]
     await w.until(
-        w.edge.board,
+        w.edge.state_board,
         "nothing",
         lambda: (
             {"q", "n", "s", "roll"}
@@ -303,7 +303,7 @@
         await r.cut(how)
     if how == "whole":  # the owner of the policy's part, and the holder of the runs
         core = next(i for i, c in w.cores.items() if c.owns("plan"))
-        store = next(i for i, s in w.stores.items() if any(x.state == "holding" for x in s.reigns.values()))
+        store = next(i for i, s in w.stores.items() if any(x.state == "holding" for x in s.leaderships.values()))
         nodes += [core, store]
         await w.kill(w.cores.pop(core))
         await w.kill(w.stores.pop(store))
@@ -319,7 +319,7 @@
         r.hold.clear()
     stream = asyncio.ensure_future(w.ask("POST", "/s/x", b"b", rid="home.s.held.0", heads={"X-Archhatch-Model": "m"}))
     await w.until(
-        w.edge.board, "nothing", lambda: any(rid == "home.s.held.0" for r in w.replicas for rid, _, _ in r.runs)
+        w.edge.state_board, "nothing", lambda: any(rid == "home.s.held.0" for r in w.replicas for rid, _, _ in r.runs)
     )
     for r in w.of("attica"):
         await r.heal(how)
@@ -390,10 +390,10 @@
             await w.load_until(
                 "deaf",
                 w.until(
-                    w.edge.board,
+                    w.edge.state_board,
                     "nothing",
                     lambda: all(
-                        c.clock.now() - c.roll.heard[r.iid] > 1.5 * quiet_s for c in w.cores.values() for r in home
+                        c.clock.now() - c.registry.heard[r.iid] > 1.5 * quiet_s for c in w.cores.values() for r in home
                     ),
                 ),
             )
@@ -414,7 +414,7 @@
             await w.all_know("attica", ["*"], True)
             for i in (2, 3):
                 await w.kill(w.cores.pop(i))
-            await w.until(w.cores[1].board, "news", lambda: not w.cores[1].in_touch())
+            await w.until(w.cores[1].state_board, "news", lambda: not w.cores[1].in_touch())
             status, doc = await w.call(
                 "POST", "/api/regions/attica", {"OperState": "in", "Reason": "x"}, core=1, ok=(503,)
             )
@@ -480,8 +480,8 @@
         status, data, heads = await w.ask("POST", path, b"b", heads={"X-Archhatch-Model": "m"})
         assert status == 503 and orjson.loads(data)["Error"] == 3101 and 0 < float(heads["Retry-After"]) <= 1
     assert (await w.ask("POST", "/v/x", b"b", heads={"X-Archhatch-Model": "m"}))[0] == 200  # no rule binds it
-    lid = "waits.lot.0"
-    assert await w.hand_in(lid, lot(name=f"{lid}.")) == 202  # a lot is kept until it may run
+    job_id = "waits.lot.0"
+    assert await w.hand_in(job_id, batch_job(name=f"{job_id}.")) == 202  # a lot is kept until it may run
     assert sum(len(r.seen) for r in w.replicas) == sum(before) + 1 and not any(r.runs for r in w.replicas)
     status, doc = await w.call(
         "POST", "/api/regions/thessaly", {"OperState": "in", "Reason": "done"}, {"If-Match": "0"}
@@ -491,7 +491,7 @@
         200,
         {"Epoch": 2},
     )
-    w.check_job(lid, await w.read_all(lid))
+    w.check_job(job_id, await w.read_all(job_id))
     assert w.regions_of("waits") == {"thessaly"}
     rows = {r["Name"]: r for r in (await w.call("GET", "/api/regions"))[1]["RegionTable"]}
     assert rows["attica"]["OutTable"] == [{"Rule": "*", "Epoch": 1, "By": "operator", "Reason": "works"}]
@@ -502,13 +502,13 @@
     text = "version = 7\n[[rule]]\nname = 'quotes'\nroutes = ['*']\nregions = ['attica', 'crete']\n"
     assert (await w.put_policy(text, 2))[0] == 200
     for n in w.nodes():
-        await w.until(n.board, "parts", lambda: n.placement.policy.version == 7)
+        await w.until(n.state_board, "parts", lambda: n.placement.policy.version == 7)
     for n in range(6):
         await w.one("q", "seventh", n, n % 2)
     assert w.regions_of("seventh") == {"crete"}  # the operator's word on attica stands
     assert (await w.put_policy("version = 8\nrule = []\n", 7))[0] == 200
     for n in w.nodes():
-        await w.until(n.board, "parts", lambda: n.placement.policy.version == 8)
+        await w.until(n.state_board, "parts", lambda: n.placement.policy.version == 8)
     for n in range(12):
         await w.one("q", "free", n, n % 2)
     assert "attica" in w.regions_of("free")
--- a/tests/region_policy/test_watch.py
+++ b/tests/region_policy/test_watch.py
@@ -28,27 +28,27 @@
     """A policy's value, a watch, and services heard in regions; run() moves time on and runs what is advised."""
 
     def __init__(self, more="", services=("q",)):
-        self.val, self.services = {}, {"quotes": set(services)}
+        self.value, self.services = {}, {"quotes": set(services)}
         code, why, _ = commands.run(
-            self.val, "policy.put", {"text": TEXT.format(more=more), "match": 0, "zones": ZONES}
+            self.value, "policy.put", {"text": TEXT.format(more=more), "match": 0, "zones": ZONES}
         )
         assert code == 1000, why
-        self.policy, self.now, self.done = Policy(self.val["policy"]), 100.0, []
+        self.policy, self.now, self.done = Policy(self.value["policy"]), 100.0, []
         self.watch = RegionWatch(QUIET, RETURN)
         self.heard: dict = {}
 
-    def run(self, secs, alive, step=0.25):
+    def run(self, timeout_s, alive, step=0.25):
         """alive: 'a b' means that all services are heard there, 'q@a' that one is."""
-        end = self.now + secs
+        end = self.now + timeout_s
         while self.now < end:
             self.now += step
             for word in alive.split():
                 for svc in [word.split("@")[0]] if "@" in word else self.services["quotes"]:
                     self.heard[svc, word.split("@")[-1]] = self.now
             for name, args in self.watch.advise(
-                self.policy, self.val.get("regions", {}), self.services, self.heard, self.now
+                self.policy, self.value.get("regions", {}), self.services, self.heard, self.now
             ):
-                code, _, did = commands.run(self.val, name, args)
+                code, _, did = commands.run(self.value, name, args)
                 assert code == 1000 and did
                 self.done.append((name.split(".")[1], args["region"], round(self.now - 100.0, 2)))
         return self.done
@@ -78,8 +78,8 @@
 )
 def test_out_and_back(steps, done):
     play = Play()
-    for secs, alive in steps:
-        play.run(secs, alive)
+    for timeout_s, alive in steps:
+        play.run(timeout_s, alive)
     assert play.done == done
 
 
@@ -127,16 +127,16 @@
 )
 def test_a_region_needs_all_of_a_rules_services(steps, done):
     play = Play(services=("q", "r"))
-    for secs, alive in steps:
-        play.run(secs, alive)
+    for timeout_s, alive in steps:
+        play.run(timeout_s, alive)
     assert [d for d in play.done if d[1] != "c"] == done
 
 
 def test_operators_word_is_never_undone_by_the_watch():
     play = Play()
-    commands.run(play.val, "region.out", {"region": "a", "rule": "*", "by": "operator", "reason": "works"})
+    commands.run(play.value, "region.out", {"region": "a", "rule": "*", "by": "operator", "reason": "works"})
     assert play.run(60, "a b c") == [] and play.run(20, "b c") == [] and play.run(60, "a b c") == []
-    commands.run(play.val, "region.back", {"region": "a", "rule": "*", "by": "operator", "reason": "done"})
+    commands.run(play.value, "region.back", {"region": "a", "rule": "*", "by": "operator", "reason": "done"})
     assert play.run(10, "a b c") == []
 
 
@@ -168,20 +168,20 @@
 
     def __init__(self, zones=ZONES):
         play = Play()
-        play.val["policy"]["zones"] = dict(zones)
+        play.value["policy"]["zones"] = dict(zones)
         super().__init__(
-            boot=BOOT,
+            settings=BOOT,
             clock=HandClock(),
-            roll=ReplicaRegistry(),
-            board=StateBoard(),
-            ctr=Counters(),
+            registry=ReplicaRegistry(),
+            state_board=StateBoard(),
+            counters=Counters(),
             quiet_s=0.75,
             started=0.0,
-            beat_s=0.2,
+            heartbeat_interval_s=0.2,
             touch=True,
             owner=True,
             done=[],
-            val={**play.val, "plan": PLAN},
+            value={**play.value, "plan": PLAN},
             seq=0,
             log=SimpleNamespace(info=lambda *a: None),
         )
@@ -190,22 +190,22 @@
     def in_touch(self):
         return self.touch
 
-    def owns(self, part):
+    def owns(self, shard):
         return self.owner
 
-    async def try_command(self, part, name, args):
+    async def try_command(self, shard, name, args):
         self.done.append((name, args.get("region")))
-        return commands.run(self.val, name, args)[:2]
+        return commands.run(self.value, name, args)[:2]
 
-    async def live(self, secs, zones, state="up", words=()):
-        end = self.clock.at + secs
+    async def live(self, timeout_s, zones, state="up", words=()):
+        end = self.clock.at + timeout_s
         while self.clock.at < end:
             self.clock.at += 0.25
             for z in zones:
                 self.seq += 1
-                self.roll.beat({"id": z, "service": "q", "zone": z, "state": state, "seq": self.seq}, self.clock.at)
+                self.registry.beat({"id": z, "service": "q", "zone": z, "state": state, "seq": self.seq}, self.clock.at)
             self.duty.heed([["q", z, 0.0] for z in words])
-            await self.duty.tend(self.val)
+            await self.duty.tend(self.value)
         return self.done
 
 
@@ -239,8 +239,8 @@
             more='[[rule]]\nname = "more"\nroutes = ["r"]\nlike = "quotes"\n[[rule]]\nname = "last"\n'
             'host = "h"\nlike = "quotes"'
         ).replace("version = 1", "version = 2")
-        assert commands.run(node.val, "policy.put", {"text": text, "match": 1, "zones": ZONES})[0] == 1000
-        node.val["plan"] = {
+        assert commands.run(node.value, "policy.put", {"text": text, "match": 1, "zones": ZONES})[0] == 1000
+        node.value["plan"] = {
             **PLAN,
             "RouteTable": PLAN["RouteTable"]
             + [
@@ -250,8 +250,8 @@
         }
         await node.live(5, ["za", "zb", "zc"])
         await node.live(4, ["zb", "zc"])
-        assert node.done == [("region.out", "a")] * 3 and node.val["regions"]["a"]["epoch"] == 3
-        assert set(node.val["regions"]["a"]["out"]) == {"quotes", "more", "last"}
+        assert node.done == [("region.out", "a")] * 3 and node.value["regions"]["a"]["epoch"] == 3
+        assert set(node.value["regions"]["a"]["out"]) == {"quotes", "more", "last"}
 
     run(go())
 
@@ -287,7 +287,7 @@
 def test_zones_that_came_later_become_known(run):
     async def go():
         node = Node({"za": "a", "zb": "b"})
-        assert await node.live(0.5, ["za", "zb"]) == [("policy.zones", None)] and node.val["policy"]["zones"] == ZONES
+        assert await node.live(0.5, ["za", "zb"]) == [("policy.zones", None)] and node.value["policy"]["zones"] == ZONES
 
     run(go())
 
--- a/tests/rollout_controller/test_leadership_term.py
+++ b/tests/rollout_controller/test_leadership_term.py
@@ -16,20 +16,20 @@
 
 
 class FakeCopier:
-    def __init__(self, st):
-        self.st, self.puts, self.deposed = st, [], False
+    def __init__(self, store):
+        self.store, self.puts, self.deposed = store, [], False
         self.gate = asyncio.Event()  # copies arrive while it is set
         self.gate.set()
 
-    def enough(self, rec):
-        return self.st.quorum.enough(rec.held, self.st.members())
+    def enough(self, record):
+        return self.store.quorum.enough(record.held, self.store.members())
 
-    async def put(self, run, term, recs):
-        self.puts.append((term, recs))
+    async def put(self, run, term, records):
+        self.puts.append((term, records))
         await self.gate.wait()
         if self.deposed:
             raise DeposedError(run)
-        for r in recs:
+        for r in records:
             r.held |= {"me", "b"}
 
 
@@ -37,15 +37,20 @@
     """A store whose neighbours are shelves in the same process."""
 
     def __init__(self, clock, names=("me", "b", "c")):
-        self.id, self.clock, self.boot = "me", clock, BOOT
-        self.ctr, self.board, self.log, self.beat_s = Counters(), StateBoard(), open_logs("t", "CRITICAL"), 0.01
-        self.crew = TaskGroup(self.log, self.ctr)
+        self.id, self.clock, self.settings = "me", clock, BOOT
+        self.counters, self.state_board, self.log, self.heartbeat_interval_s = (
+            Counters(),
+            StateBoard(),
+            open_logs("t", "CRITICAL"),
+            0.01,
+        )
+        self.task_group = TaskGroup(self.log, self.counters)
         self.shelves = {n: RecordStore(MemBook(), clock, Counters()) for n in names}
-        self.shelf, self.quorum = self.shelves["me"], Quorum.of(BOOT)
-        self.copier = FakeCopier(self)
-        self.news, self.silent, self.proof = self, set(), True
+        self.record_store, self.quorum = self.shelves["me"], Quorum.of(BOOT)
+        self.replicator = FakeCopier(self)
+        self.config_watcher, self.silent, self.proof = self, set(), True
 
-    async def do(self, part, name, args):
+    async def do(self, shard, name, args):
         return 1000, {"stores": self.members(), "runs": {}}
 
     def members(self):
@@ -57,15 +62,15 @@
     def alive(self, sid):
         return sid not in self.silent
 
-    def confirmed(self, run, term, secs):
+    def confirmed(self, run, term, timeout_s):
         return self.proof
 
-    async def ask_store(self, sid, addr, verb, doc):
+    async def ask_store(self, sid, address, verb, doc):
         return None if sid in self.silent else await self.shelves[sid].prepare(doc["run"], doc["term"])
 
-    async def fetch(self, sid, addr, lid, poss, lot):
-        recs = self.shelves[sid].fetch(lid, poss, lot)
-        return [Record(orjson.loads(orjson.dumps(r.head)), r.body) for r in recs]
+    async def fetch(self, sid, address, job_id, poss, batch_job):
+        records = self.shelves[sid].fetch(job_id, poss, batch_job)
+        return [Record(orjson.loads(orjson.dumps(r.head)), r.body) for r in records]
 
 
 def lot_rec():
@@ -93,16 +98,20 @@
 @pytest.mark.parametrize("why, held, items, anew", ADOPT, ids=[a[0] for a in ADOPT])
 def test_adopt(run, clock, why, held, items, anew):
     async def go():
-        st = FakeStore(clock)
-        for n, shelf in st.shelves.items():
-            await shelf.append([lot_rec()] + [res(*r) for r in held.get(n, [])])
-        reign = LeadershipTerm(st, "s", 5)
-        await reign.begin()
-        lot = reign.lots["l"]
-        assert [r.head["item"] for r in lot.results] == items and lot.listed == len(items) and lot.done == set(items)
-        again = [r.head["pos"] for _, recs in st.copier.puts for r in recs if r.head["k"] == "R"]
-        assert again == anew and all(t == 5 for t, _ in st.copier.puts)
-        assert all(lot.results[p].head["term"] == 5 for p in anew)
+        store = FakeStore(clock)
+        for n, record_store in store.shelves.items():
+            await record_store.append([lot_rec()] + [res(*r) for r in held.get(n, [])])
+        leadership = LeadershipTerm(store, "s", 5)
+        await leadership.begin()
+        batch_job = leadership.batch_jobs["l"]
+        assert (
+            [r.head["item"] for r in batch_job.results] == items
+            and batch_job.listed == len(items)
+            and batch_job.done == set(items)
+        )
+        again = [r.head["pos"] for _, records in store.replicator.puts for r in records if r.head["k"] == "R"]
+        assert again == anew and all(t == 5 for t, _ in store.replicator.puts)
+        assert all(batch_job.results[p].head["term"] == 5 for p in anew)
 
     run(go())
 
@@ -113,24 +122,24 @@
 )
 def test_a_lot_on_two_stores_is_found_without_any_one(run, clock, holders, silent, taken):
     async def go():
-        st = FakeStore(clock)
+        store = FakeStore(clock)
         for n in holders:
-            await st.shelves[n].append([lot_rec()])
-        st.silent = {silent} - {"me"}
-        reign = LeadershipTerm(st, "s", 2)
-        await reign.begin()
-        assert ("l" in reign.lots) is taken and reign.state == "holding"
+            await store.shelves[n].append([lot_rec()])
+        store.silent = {silent} - {"me"}
+        leadership = LeadershipTerm(store, "s", 2)
+        await leadership.begin()
+        assert ("l" in leadership.batch_jobs) is taken and leadership.state == "holding"
 
     run(go())
 
 
 def test_higher_term_ends_it(run, clock):
     async def go():
-        st = FakeStore(clock)
-        await st.shelves["c"].prepare("s", 9)
-        reign = LeadershipTerm(st, "s", 5)
-        await reign.begin()
-        assert reign.state == "over" and not reign.fresh() and not reign.may_order()
+        store = FakeStore(clock)
+        await store.shelves["c"].prepare("s", 9)
+        leadership = LeadershipTerm(store, "s", 5)
+        await leadership.begin()
+        assert leadership.state == "over" and not leadership.fresh() and not leadership.may_order()
 
     run(go())
 
@@ -138,62 +147,62 @@
 @pytest.mark.parametrize("iid, age, wait", [("e1", 0.5, 3.0), ("e1", 3.4, 0.1), ("e1", 9.0, 0.0), ("e2", 0.0, 0.0)])
 def test_orders_wait_for_what_the_earlier_holder_meant_to_do(run, clock, iid, age, wait):
     async def go():
-        st = FakeStore(clock)
+        store = FakeStore(clock)
         for n in ("b", "c"):
-            await st.shelves[n].append([Record({"k": "O", "lot": "", "run": "s", "iid": "e1", "by": 1})])
+            await store.shelves[n].append([Record({"k": "O", "lot": "", "run": "s", "iid": "e1", "by": 1})])
         clock.at += age
-        reign = LeadershipTerm(st, "s", 2)
-        await reign.begin()
+        leadership = LeadershipTerm(store, "s", 2)
+        await leadership.begin()
         if wait:
             clock.at += wait - 0.01
-            assert not reign.may_order(iid)
+            assert not leadership.may_order(iid)
         clock.at += 0.02
-        assert reign.may_order(iid)
-        st.proof = False
-        assert not reign.may_order(iid)
+        assert leadership.may_order(iid)
+        store.proof = False
+        assert not leadership.may_order(iid)
 
     run(go())
 
 
 async def holding(clock):
-    st = FakeStore(clock)
-    for n in st.shelves:
-        await st.shelves[n].append([lot_rec()])
-    reign = LeadershipTerm(st, "s", 2)
-    await reign.begin()
-    st.copier.gate.clear()
-    return st, reign
+    store = FakeStore(clock)
+    for n in store.shelves:
+        await store.shelves[n].append([lot_rec()])
+    leadership = LeadershipTerm(store, "s", 2)
+    await leadership.begin()
+    store.replicator.gate.clear()
+    return store, leadership
 
 
 HEAD = {"lot": "new", "host": "h", "path": "/p/"}
 WAITERS = [  # who waits for copies; what must hold once they are there, though the waiter was cancelled
     (
         "the last results",
-        lambda r: [r.list_result(r.lots["l"], i, {}) for i in ("i1", "i2")],
-        lambda r: r.lots["l"].listed == 2,
+        lambda r: [r.list_result(r.batch_jobs["l"], i, {}) for i in ("i1", "i2")],
+        lambda r: r.batch_jobs["l"].listed == 2,
         ("lot", "l"),
     ),
-    ("an end", lambda r: [r.end("l")], lambda r: r.lots["l"].recs[-1].held >= {"me", "b"}, ("lot", "l")),
-    ("a lot", lambda r: [r.put(HEAD, orjson.dumps(LOT))], lambda r: "new" in r.lots, "work"),
+    ("an end", lambda r: [r.end("l")], lambda r: r.batch_jobs["l"].records[-1].held >= {"me", "b"}, ("lot", "l")),
+    ("a lot", lambda r: [r.put(HEAD, orjson.dumps(LOT))], lambda r: "new" in r.batch_jobs, "work"),
 ]
 
 
 @pytest.mark.parametrize("why, waits, good, name", WAITERS, ids=[w[0] for w in WAITERS])
 def test_copies_arrive_although_the_task_that_waited_was_cancelled(run, clock, why, waits, good, name):
     async def go():
-        st, reign = await holding(clock)
-        tasks = [asyncio.ensure_future(c) for c in waits(reign)]
-        while len(st.copier.puts) < len(tasks):
+        store, leadership = await holding(clock)
+        tasks = [asyncio.ensure_future(c) for c in waits(leadership)]
+        while len(store.replicator.puts) < len(tasks):
             await asyncio.sleep(0)
         for t in tasks:  # as Dispatch._sync does with the tasks of a lot whose items all have positions
             t.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        assert not good(reign)
-        turn = st.board.turn(name)
-        st.copier.gate.set()
-        while not good(reign):
-            turn = await st.board.news(name, turn)
-        assert not reign._copying
+        assert not good(leadership)
+        turn = store.state_board.turn(name)
+        store.replicator.gate.set()
+        while not good(leadership):
+            turn = await store.state_board.wait_for_change(name, turn)
+        assert not leadership._copying
 
     run(go())
 
@@ -202,31 +211,31 @@
 @pytest.mark.parametrize("how", ["a store knows a higher term", "the reign is over"])
 def test_waiters_are_told_that_the_reign_is_over(run, clock, how, why, waits, good, name):
     async def go():
-        st, reign = await holding(clock)
-        tasks = [asyncio.ensure_future(c) for c in waits(reign)]
-        while len(st.copier.puts) < len(tasks):
+        store, leadership = await holding(clock)
+        tasks = [asyncio.ensure_future(c) for c in waits(leadership)]
+        while len(store.replicator.puts) < len(tasks):
             await asyncio.sleep(0)
         if how == "the reign is over":
-            reign.over()
+            leadership.over()
         else:
-            st.copier.deposed = True
-            st.copier.gate.set()
+            store.replicator.deposed = True
+            store.replicator.gate.set()
         outs = await asyncio.gather(*tasks, return_exceptions=True)
-        assert all(isinstance(o, DeposedError) for o in outs) and reign.state == "over" and not good(reign)
+        assert all(isinstance(o, DeposedError) for o in outs) and leadership.state == "over" and not good(leadership)
 
     run(go())
 
 
 def test_the_same_lot_handed_in_twice_is_copied_once(run, clock):
     async def go():
-        st, reign = await holding(clock)
-        tasks = [asyncio.ensure_future(reign.put(HEAD, orjson.dumps(LOT))) for _ in range(3)]
-        while not st.copier.puts:
+        store, leadership = await holding(clock)
+        tasks = [asyncio.ensure_future(leadership.put(HEAD, orjson.dumps(LOT))) for _ in range(3)]
+        while not store.replicator.puts:
             await asyncio.sleep(0)
         tasks[0].cancel()
-        st.copier.gate.set()
+        store.replicator.gate.set()
         outs = await asyncio.gather(*tasks, return_exceptions=True)
-        assert outs[1:] == [None, None] and len(st.copier.puts) == 1 and "new" in reign.lots
+        assert outs[1:] == [None, None] and len(store.replicator.puts) == 1 and "new" in leadership.batch_jobs
 
     run(go())
 
@@ -247,9 +256,9 @@
 
 @pytest.mark.parametrize("told, wait", NOTES)
 def test_how_old_a_note_of_an_order_is(clock, told, wait):
-    st = FakeStore(clock)
-    reign = LeadershipTerm(st, "run", 5)
-    reign.takeover.heed_orders(
+    store = FakeStore(clock)
+    leadership = LeadershipTerm(store, "run", 5)
+    leadership.takeover.heed_orders(
         [{"orders": {"i": age}, "noted": {"i": note} if note else {}, "tick": tick} for age, note, tick in told]
     )
-    assert reign.order_from["i"] - clock.now() == pytest.approx(wait * BOOT.secs("LeaseMs") / 3.0)
+    assert leadership.order_from["i"] - clock.now() == pytest.approx(wait * BOOT.seconds("LeaseMs") / 3.0)
