--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,6 +8,9 @@
         sys.path.insert(0, path)
 
 import pytest  # noqa: E402
+from wire_vocabulary import Vocabulary, watch  # noqa: E402
+
+WATCH = watch(Vocabulary.load())
 
 
 class HandClock:
@@ -46,3 +49,13 @@
         return asyncio.run(asyncio.wait_for(coro, secs))
 
     return go
+
+
+@pytest.fixture(autouse=True)
+def wire_watch():
+    """Fails a test in which a document went between nodes that other versions may not understand."""
+    WATCH.take()
+    yield WATCH
+    found = WATCH.take()
+    if found:
+        pytest.fail("not in tests/data/wire/calls.json:\n" + "\n".join(found))
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -7,11 +7,16 @@
 
 import orjson
 import pytest
-from standins import LOG
+from standins import LOG, World
+from wire_vocabulary import TOYS, Vocabulary
 
+from lines.control.node import ControlNode
+from lines.control.registers import commands as control_commands
 from lines.frame import Counters
+from lines.ledger.commands import commands as ledger_commands
 from lines.rpc import ConnectionPool, Envelope, Handlers, Refusal, TcpNetwork
 from lines.rpc.framing import pack, read_frame
+from lines.store.node import StoreNode
 
 with open(os.path.join(os.path.dirname(__file__), "data", "wire", "frames.json"), encoding="utf-8") as file:
     FRAMES = {row["name"]: row for row in json.load(file)}
@@ -158,3 +163,93 @@
         await server.close()
 
     run(go())
+
+
+# -- verbs, commands, documents
+
+
+def test_the_verbs_are_the_ones_as_ever(tmp_path):
+    """Those that the nodes register, with nothing added or left out."""
+    world = World(tmp_path)
+    nodes = [
+        ControlNode(world.boot("core", f"{world.net}.1.1"), LOG),
+        StoreNode(world.boot("store", f"{world.net}.2.1"), LOG),
+    ]
+    served = {verb for node in nodes for verb in node.verbs.table}
+    assert served == set(Vocabulary.load().calls) and not served & TOYS
+
+
+def test_the_commands_are_the_ones_as_ever():
+    assert {*control_commands.table, *ledger_commands.table} == set(Vocabulary.load().commands)
+
+
+def _exchange(run, verb: str, doc: object, answer: object) -> None:
+    """Send a call over a connection, and have it answered."""
+    handlers = Handlers()
+
+    @handlers.on(verb)
+    async def handler(doc, body):
+        return answer
+
+    async def go():
+        server, pool = TcpNetwork().server(handlers, LOG, Counters()), ConnectionPool(Counters())
+        await server.open("127.0.0.1:0")
+        assert (await pool.to(f"127.0.0.1:{server.port()}").call(verb, doc, secs=30))[:2] == (1000, answer)
+        pool.end()
+        await server.close()
+
+    run(go())
+
+
+LACKS = {"to": "s-1", "lot": "a"}
+LACKED = {"me": "s-1", "lacks": True, "stores": {"s-2": {"zone": "z1"}}}
+OPEN = {"part": "p0", "name": "run.open", "args": {"run": "llm"}, "within": 1}
+
+
+@pytest.mark.parametrize(
+    "verb, doc, answer, found",
+    [
+        ("shelf.lacks", LACKS, LACKED, []),
+        ("shelf.lacks", {"to": "s-1", "batch": "a"}, LACKED, ["call shelf.lacks: key batch"]),
+        ("shelf.lacks", {"to": "s-1", "lot": 7}, LACKED, ["call shelf.lacks: number at lot"]),
+        ("shelf.lacks", [LACKS], LACKED, ["call shelf.lacks: array at ."]),
+        ("shelf.lacks", LACKS, None, ["answer shelf.lacks: null at ."]),
+        (
+            "shelf.lacks",
+            LACKS,
+            {**LACKED, "stores": {"s-2": {"zone": "z1", "place": 1}, "s-3": {"zone": None}}},
+            ["answer shelf.lacks: key stores.*.place", "answer shelf.lacks: null at stores.*.zone"],
+        ),
+        ("part.do", OPEN, {"code": 1000, "doc": None}, []),
+        (
+            "part.do",
+            {**OPEN, "args": {"service": "llm"}},
+            {"code": 1000, "doc": {"a": 1}},
+            ["call part.do run.open: key args.service", "answer part.do run.open: object at doc"],
+        ),
+        (
+            "part.do",
+            {**OPEN, "name": "run.opened"},
+            {"code": 1000, "doc": None},
+            ["call part.do: command run.opened", "answer part.do: command run.opened"],
+        ),
+        ("lot.place", {}, None, ["verb lot.place"]),
+    ],
+)
+def test_the_watch_over_all_tests_sees_what_is_sent(run, wire_watch, verb, doc, answer, found):
+    before = wire_watch.compared
+    _exchange(run, verb, doc, answer)
+    assert wire_watch.compared == before + 2 and wire_watch.take() == found
+
+
+def test_the_watch_compares_what_is_refused(run, wire_watch):
+    vocabulary = wire_watch.vocabulary
+    claim = {"part": "p0", "name": "tenure.claim", "args": {}}
+    assert vocabulary.unknown_in_answer("do", claim, 2011, {"holder": "a", "life": "b", "term": 3}) == []
+    assert vocabulary.unknown_in_answer("do", claim, 2011, {"leader": "a"}) == [
+        "refusal 2011 of do tenure.claim: key leader"
+    ]
+    assert vocabulary.unknown_in_answer("lot.put", None, 2008, {"Meant": "a"}) == []
+    assert vocabulary.unknown_in_answer("lot.put", None, 2008, {"Wanted": "a"}) == [
+        "refusal 2008 of lot.put: key Wanted"
+    ]
