--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -8,8 +8,9 @@
 import orjson
 import pytest
 from standins import LOG, World
-from wire_vocabulary import TOYS, Vocabulary
+from wire_vocabulary import TOYS, Vocabulary, read_records
 
+from lines.batches.record import Record, pack_many, unpack_many
 from lines.control.node import ControlNode
 from lines.control.registers import commands as control_commands
 from lines.frame import Counters
@@ -165,6 +166,37 @@
     run(go())
 
 
+# -- records in bodies
+
+RECORDS = [
+    Record({"k": "L", "lot": "a.1", "run": "llm", "host": "h", "path": "/l/", "base": 0, "by": 3}, b'{"Model":"m"}'),
+    Record({"k": "E", "lot": "a.1", "run": "llm", "by": 3}),
+]
+PACKED = (
+    b'\x00\x00\x00\x5a\x00\x00\x00\x49{"k":"L","lot":"a.1","run":"llm","host":"h","path":"/l/","base":0,"by":3}'
+    b'{"Model":"m"}\x00\x00\x00\x2c\x00\x00\x00\x28{"k":"E","lot":"a.1","run":"llm","by":3}'
+)
+
+
+def test_records_have_the_bytes_as_ever():
+    assert pack_many(RECORDS) == PACKED
+    assert [(record.head, record.body) for record in unpack_many(PACKED)] == [(r.head, r.body) for r in RECORDS]
+    assert read_records(PACKED) == [{"head": record.head, "body": None} for record in RECORDS]
+
+
+def test_the_watch_compares_bodies(wire_watch):
+    look = wire_watch.vocabulary.unknown_in_body
+    assert look("shelf.append", "call", PACKED) == look("shelf.fetch", "answer", PACKED) == []
+    other = [Record({"k": "E", "batch": "a"}), Record({"k": "S", "lot": 1}, b'{"begin":0}')]
+    assert look("shelf.append", "call", pack_many(other)) == [
+        "body of call shelf.append: key [].head.batch",
+        "body of call shelf.append: number at [].head.lot",
+        "body of call shelf.append: key [].body.begin",
+    ]
+    assert look("share.commit", "call", b'[{"part":"m","place":1}]') == ["body of call share.commit: key [].place"]
+    assert look("share.fetch", "answer", b'[{"lot":"a","item":"b"}]') == ["body of answer share.fetch: key [].item"]
+
+
 # -- verbs, commands, documents
 
 
@@ -239,7 +271,7 @@
 def test_the_watch_over_all_tests_sees_what_is_sent(run, wire_watch, verb, doc, answer, found):
     before = wire_watch.compared
     _exchange(run, verb, doc, answer)
-    assert wire_watch.compared == before + 2 and wire_watch.take() == found
+    assert wire_watch.compared == before + 4 and wire_watch.take() == found
 
 
 def test_the_watch_compares_what_is_refused(run, wire_watch):
--- a/tests/wire_vocabulary.py
+++ b/tests/wire_vocabulary.py
@@ -5,7 +5,8 @@
 documents of all refusals. Each is a table of paths with types: `.` is the document itself, `[]` the items of a list,
 `*` the keys of a map that are data (names of runs, nodes, services, ...). A type `@name` is the shape of that name,
 `@arguments` and `@result` are those of the command that the call names, `any` is data that is passed on as it is.
-`number` and the other types are those of JSON; several are parted by `|`.
+`number` and the other types are those of JSON; several are parted by `|`. Where a body is JSON or records of a store,
+`call body` and `answer body` are its tables; a record is shown as its head and, if that is JSON of ours, its body.
 
 While the tests run, every document that goes over a connection between nodes is compared with it; nothing that is sent
 changes. The names of the program that this needs are imported in `watch()` alone.
@@ -15,6 +16,7 @@
 
 import json
 import os
+import struct
 from dataclasses import dataclass, field
 from functools import wraps
 
@@ -25,6 +27,9 @@
 DONE = 1000
 WITH_COMMAND = frozenset({"do", "part.do", "ledger.run"})  # calls whose `name` says which command `args` are for
 REFUSES_WITH_RESULT = "do"  # where a command's refusal is that of the call, with the command's result
+JSON_BODIES = frozenset({("share.commit", "call"), ("share.fetch", "answer")})
+RECORD_BODIES = frozenset({("shelf.append", "call"), ("shelf.fetch", "answer")})
+OUR_RECORDS = frozenset("RSU")  # results, snapshots and updates of windows; the body of a lot is its trainer's
 # Verbs that tests register for themselves, or call where nothing of ours answers: what they carry is not looked at.
 TOYS = frozenset({"bad", "echo", "long", "mark", "never", "no", "ping", "unheard", "x", "y"})
 TYPES = {type(None): "null", bool: "boolean", int: "number", float: "number", str: "string"}
@@ -57,6 +62,22 @@
     return root
 
 
+def read_records(raw: bytes) -> list[dict]:
+    """The records in a body: each behind its length, and in it the head behind its own.
+
+    >>> read_records(b'\\0\\0\\0\\x0d\\0\\0\\0\\x07{"k":1}ab')
+    [{'head': {'k': 1}, 'body': None}]
+    """
+    records, at = [], 0
+    while at < len(raw):
+        size, head_size = struct.unpack_from(">II", raw, at)
+        end, body_at = at + 4 + size, at + 8 + head_size
+        head = orjson.loads(raw[at + 8 : body_at])
+        records.append({"head": head, "body": orjson.loads(raw[body_at:end]) if head["k"] in OUR_RECORDS else None})
+        at = end
+    return records
+
+
 class Vocabulary:
     """Says what of a document is not in the tables.
 
@@ -95,6 +116,16 @@
             return self._unknown(f"refusal {code} of", verb, "answer", call, doc)
         return found
 
+    def unknown_in_body(self, verb: str, part: str, body: bytes) -> list[str]:
+        """What of the body of a call or an answer (the part) is unknown."""
+        if (verb, part) in JSON_BODIES:
+            doc = orjson.loads(body)
+        elif (verb, part) in RECORD_BODIES:
+            doc = read_records(body)
+        else:
+            return []
+        return self._unknown(f"body of {part}", verb, f"{part} body", None, doc)
+
     def _unknown(self, kind: str, verb: str, part: str, call: object, doc: object) -> list[str]:
         if verb in TOYS:
             return []
@@ -145,14 +176,15 @@
 
     def __init__(self, vocabulary: Vocabulary):
         self.vocabulary = vocabulary
-        self.compared = 0  # documents
+        self.compared = 0  # documents and bodies
         self._found: dict[str, None] = {}  # in the order in which it was met, each once
 
-    def call(self, verb: str, head: bytes) -> None:
+    def call(self, verb: str, head: bytes, body: bytes) -> None:
         """A call is encoded."""
         self._note(lambda: self.vocabulary.unknown_in_call(verb, orjson.loads(head)))
+        self._note(lambda: self.vocabulary.unknown_in_body(verb, "call", body))
 
-    def answer(self, verb: str, head: bytes, code: int, doc: object) -> None:
+    def answer(self, verb: str, head: bytes, code: int, doc: object, body: bytes) -> None:
         """The answer to a call with this head is encoded."""
 
         def look():
@@ -162,6 +194,8 @@
 
         if verb not in TOYS:
             self._note(look)
+            if code == DONE:
+                self._note(lambda: self.vocabulary.unknown_in_body(verb, "answer", body))
 
     def _note(self, look) -> None:
         """Keep what was unknown; a fault of this comparison is kept as well, and does not reach the program."""
@@ -187,12 +221,12 @@
 
     @wraps(pack_call)
     def watched_call(envelope):
-        seen.call(envelope.verb, envelope.head)
+        seen.call(envelope.verb, envelope.head, envelope.body)
         return pack_call(envelope)
 
     @wraps(pack_answer)
     def watched_answer(self, call, code, doc, body):
-        seen.answer(call.verb, call.head, code, doc)
+        seen.answer(call.verb, call.head, code, doc, body)
         return pack_answer(self, call, code, doc, body)
 
     connection.pack, server.Server._pack = watched_call, watched_answer
