--- a/archhatch/__main__.py
+++ b/archhatch/__main__.py
@@ -10,5 +10,11 @@
 
 from .cli.commands import main  # noqa: E402
 
-if __name__ == "__main__":
+
+def run() -> None:
+    """Runs the command line of this process and ends with its exit status."""
     main(sys.argv)
+
+
+if __name__ == "__main__":
+    run()
--- a/archhatch/cli/commands.py
+++ b/archhatch/cli/commands.py
@@ -63,11 +63,7 @@
 
 
 def command(name: str):
-    """Register a command.
-
-    >>> # @command("doctor")
-    ... # def _doctor(args): return 0
-    """
+    """Registers a function as the command of a name."""
 
     def put(function):
         COMMANDS[name] = function
--- a/archhatch/routing/routes.py
+++ b/archhatch/routing/routes.py
@@ -15,8 +15,8 @@
     phase + k * golden ratio lies (a low-discrepancy sequence); the phase is drawn anew for each sequence, so that many
     nodes do not pick in step.
 
-    >>> s = WeightedSequence((("a", 9.0), ("b", 1.0)), phase=0.0); [s.next() for _ in range(20)].count("b")
-    2
+    >>> s = WeightedSequence((("a", 9.0), ("b", 1.0)), phase=0.0); [s.next() for _ in range(100)].count("b")
+    10
     """
 
     STEP = 0.6180339887498949  # the golden ratio's fractional part
--- a/archhatch/runtime/__init__.py
+++ b/archhatch/runtime/__init__.py
@@ -1,11 +1,10 @@
-"""What every process stands on: boot settings, logs, counters, the blackboard and the event journal."""
+"""What every process stands on: settings, logs, counters, the state board and background tasks."""
 
 from .settings import Settings, SettingsError, read_settings
 from .state_board import StateBoard
 from .result_codes import CODES, Result, error_result, json_result
 from .clock import Clock
 from .counters import Counters
-from .events import Journal, View
 from .document_encoding import encode_kept
 from .logs import open_logs
 from .task_group import TaskGroup
@@ -21,9 +20,7 @@
     "json_result",
     "Clock",
     "Counters",
-    "Journal",
     "encode_kept",
-    "View",
     "open_logs",
     "Crew",
 ]
--- a/archhatch/runtime/settings.py
+++ b/archhatch/runtime/settings.py
@@ -174,9 +174,9 @@
 def check_settings(doc: object) -> Settings:
     """Turn a decoded settings document into a Boot, or raise a SettingsError that names the field.
 
-    >>> try: check_settings({})
-    ... except SettingsError as e: print(e)
-    settings: NodeName: is missing
+    >>> check_settings({})
+    Traceback (most recent call last):
+    archhatch.runtime.settings.SettingsError: settings: InternalPorts: is missing
     """
     if not isinstance(doc, dict):
         raise SettingsError("(file)", "must hold one JSON object")
--- a/archhatch/singleton_roles/record.py
+++ b/archhatch/singleton_roles/record.py
@@ -85,7 +85,7 @@
         """For a register's value.
 
         >>> SingletonRole.read(SingletonRole(fence=3, holder=LeaseHolder("a", "x")).doc()).holder
-        LeaseHolder(node='a', life='x')
+        LeaseHolder(node='a', incarnation='x')
         """
         doc = asdict(self)
         doc["state"], doc["prior"] = self.state.value, self.prior.value
--- a/tests/test_wire_compatibility.py
+++ b/tests/compatibility/test_wire_compatibility.py
@@ -7,19 +7,19 @@
 
 import orjson
 import pytest
-from standins import LOG, World
-from wire_vocabulary import TOYS, Vocabulary, read_records
-
-from lines.batches.record import Record, pack_many, unpack_many
-from lines.control.node import ControlNode
-from lines.control.registers import commands as control_commands
-from lines.frame import Counters
-from lines.ledger.commands import commands as ledger_commands
-from lines.rpc import ConnectionPool, Envelope, Handlers, Refusal, TcpNetwork
-from lines.rpc.framing import pack, read_frame
-from lines.store.node import StoreNode
-
-with open(os.path.join(os.path.dirname(__file__), "data", "wire", "frames.json"), encoding="utf-8") as file:
+from tests.support.standins import LOG, World
+from tests.support.wire_vocabulary import TOYS, Vocabulary, read_records
+
+from archhatch.jobs.record import Record, pack_many, unpack_many
+from archhatch.control.node import ControlNode
+from archhatch.control.registers import commands as control_commands
+from archhatch.runtime import Counters
+from archhatch.singleton_roles.commands import commands as ledger_commands
+from archhatch.rpc import ConnectionPool, Envelope, Handlers, Refusal, TcpNetwork
+from archhatch.rpc.framing import pack, read_frame
+from archhatch.store.node import StoreNode
+
+with open(os.path.join(os.path.dirname(__file__), "..", "data", "wire", "frames.json"), encoding="utf-8") as file:
     FRAMES = {row["name"]: row for row in json.load(file)}
 CALLS = [name for name, row in FRAMES.items() if "verb" in row]
 ANSWERS = [name for name, row in FRAMES.items() if "verb" not in row]
@@ -102,10 +102,10 @@
         listener = await asyncio.start_server(serve, "127.0.0.1", 0)
         pool = ConnectionPool(Counters())
         line = pool.to(f"127.0.0.1:{listener.sockets[0].getsockname()[1]}")
-        secs = want["within_ms"] / 1000 or 30.0
+        timeout_s = want["within_ms"] / 1000 or 30.0
         # the documents are written by orjson without spaces, in the order of their keys
         waiting = asyncio.ensure_future(
-            line.call(want["verb"], orjson.loads(want["head"]), want["body"], secs=secs, to=want["to"])
+            line.call(want["verb"], orjson.loads(want["head"]), want["body"], timeout_s=timeout_s, to=want["to"])
         )
         raw = await got.get()
         number = (await read_frame(stream_of(raw))).call
@@ -204,8 +204,8 @@
     """Those that the nodes register, with nothing added or left out."""
     world = World(tmp_path)
     nodes = [
-        ControlNode(world.boot("core", f"{world.net}.1.1"), LOG),
-        StoreNode(world.boot("store", f"{world.net}.2.1"), LOG),
+        ControlNode(world.node_settings("core", f"{world.net}.1.1"), LOG),
+        StoreNode(world.node_settings("store", f"{world.net}.2.1"), LOG),
     ]
     served = {verb for node in nodes for verb in node.verbs.table}
     assert served == set(Vocabulary.load().calls) and not served & TOYS
@@ -226,7 +226,7 @@
     async def go():
         server, pool = TcpNetwork().server(handlers, LOG, Counters()), ConnectionPool(Counters())
         await server.open("127.0.0.1:0")
-        assert (await pool.to(f"127.0.0.1:{server.port()}").call(verb, doc, secs=30))[:2] == (1000, answer)
+        assert (await pool.to(f"127.0.0.1:{server.port()}").call(verb, doc, timeout_s=30))[:2] == (1000, answer)
         pool.end()
         await server.close()
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,12 +8,11 @@
         sys.path.insert(0, path)
 
 import pytest  # noqa: E402
-from wire_vocabulary import Vocabulary, watch  # noqa: E402
+from tests.support.fakes import HandClock  # noqa: E402
+from tests.support.wire_vocabulary import Vocabulary, watch  # noqa: E402
 
 WATCH = watch(Vocabulary.load())
 
-from tests.support.fakes import HandClock  # noqa: E402
-
 
 @pytest.fixture
 def clock():
--- a/tests/control/test_control_safety.py
+++ b/tests/control/test_control_safety.py
@@ -160,9 +160,7 @@
     def __init__(self, silent, joined_at):
         names = list(silent)
         self.started, self.said = 0.0, []
-        self.settings = SimpleNamespace(
-            seconds=lambda name, ratio=1.0: {"SyncS": 10.0, "ContactMs": 3.0}[name] * ratio
-        )
+        self.settings = SimpleNamespace(seconds=lambda name, ratio=1.0: {"SyncS": 10.0, "ContactMs": 3.0}[name] * ratio)
         self.clock, self.log, self.quorum = HandClock(100.0), SimpleNamespace(info=lambda *a: None), Quorum(1)
         self.stores = PeerSet()
         for name, seconds in silent.items():
--- a/tests/wire_vocabulary.py
+++ b/tests/support/wire_vocabulary.py
@@ -22,7 +22,7 @@
 
 import orjson
 
-FILE = os.path.join(os.path.dirname(os.path.abspath(__file__)), "data", "wire", "calls.json")
+FILE = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "data", "wire", "calls.json")
 ROOT, ITEM, ANY_KEY, ANYTHING = ".", "[]", "*", "any"
 DONE = 1000
 WITH_COMMAND = frozenset({"do", "part.do", "ledger.run"})  # calls whose `name` says which command `args` are for
@@ -214,7 +214,7 @@
 
 def watch(vocabulary: Vocabulary) -> Watch:
     """Watch all connections and servers of this process from now on: the one place that knows the program's names."""
-    from lines.rpc import connection, server
+    from archhatch.rpc import connection, server
 
     seen = Watch(vocabulary)
     pack_call, pack_answer = connection.pack, server.Server._pack
