--- a/archhatch/capacity/__init__.py
+++ b/archhatch/capacity/__init__.py
@@ -9,4 +9,11 @@
 from .size import SizeError, read_size
 from .table import Table
 
-__all__ = ["Fit", "fit_line", "Measure", "SizeFault", "read_size", "Table"]
+__all__ = [
+    "Fit",
+    "Measure",
+    "SizeError",
+    "Table",
+    "fit_line",
+    "read_size",
+]
--- a/archhatch/diagnostics/__init__.py
+++ b/archhatch/diagnostics/__init__.py
@@ -2,4 +2,8 @@
 
 from .doctor import Doctor, Finding, report
 
-__all__ = ["Doctor", "Finding", "report"]
+__all__ = [
+    "Doctor",
+    "Finding",
+    "report",
+]
--- a/archhatch/evacuation/__init__.py
+++ b/archhatch/evacuation/__init__.py
@@ -7,4 +7,7 @@
 
 from .record import Moves, EvacuationState
 
-__all__ = ["Moves", "State"]  # all that an edge or a store needs
+__all__ = [
+    "EvacuationState",
+    "Moves",
+]
--- a/archhatch/health/__init__.py
+++ b/archhatch/health/__init__.py
@@ -2,4 +2,7 @@
 
 from .outlier_detection import ReplicaHealth, PeerStatistics
 
-__all__ = ["Fitness", "Peers"]
+__all__ = [
+    "PeerStatistics",
+    "ReplicaHealth",
+]
--- a/archhatch/http_server/__init__.py
+++ b/archhatch/http_server/__init__.py
@@ -2,4 +2,6 @@
 
 from .server import HttpServer
 
-__all__ = ["Window"]
+__all__ = [
+    "HttpServer",
+]
--- a/archhatch/membership/__init__.py
+++ b/archhatch/membership/__init__.py
@@ -1,12 +1,18 @@
 """Who is there: the system's nodes, the services' replicas, and who watches whom."""
 
-from .rendezvous import pick, rank
-from .replica_registry import ReplicaRegistry
-from .peer_set import PeerSet
-
-__all__ = ["pick", "rank", "Roll", "Neighbours"]
 from .config_watcher import ConfigWatcher
 from .live_requests import LiveRequests
+from .peer_set import PeerSet
+from .rendezvous import pick, rank
 from .rendezvous import shard_of
+from .replica_registry import ReplicaRegistry
 
-__all__ += ["LiveBook", "Newsreader", "part_of"]
+__all__ = [
+    "ConfigWatcher",
+    "LiveRequests",
+    "PeerSet",
+    "ReplicaRegistry",
+    "pick",
+    "rank",
+    "shard_of",
+]
--- a/archhatch/platform_client/__init__.py
+++ b/archhatch/platform_client/__init__.py
@@ -2,4 +2,7 @@
 
 from .client import CallResult, PlatformClient
 
-__all__ = ["CallResult", "PlatformClient"]
+__all__ = [
+    "CallResult",
+    "PlatformClient",
+]
--- a/archhatch/region_policy/__init__.py
+++ b/archhatch/region_policy/__init__.py
@@ -6,4 +6,7 @@
 from .placement import Placement
 from .policy import Policy
 
-__all__ = ["Placement", "Policy"]  # all that an edge needs; readers and commands are imported where they are used
+__all__ = [
+    "Placement",
+    "Policy",
+]
--- a/archhatch/routing/__init__.py
+++ b/archhatch/routing/__init__.py
@@ -6,4 +6,7 @@
 
 from .routes import Route, RoutingTable
 
-__all__ = ["Lane", "Plan"]
+__all__ = [
+    "Route",
+    "RoutingTable",
+]
