--- a/archhatch/capacity/probes/control.py
+++ b/archhatch/capacity/probes/control.py
@@ -23,7 +23,7 @@
 
 def core(n: int, routes: int = 0):
     """A control node's object that was never started, with a roll of n and a majority of one."""
-    one = need("control.node", "ControlNode", "in_touch", "serving")(settings(), Quiet())
+    one = need("control.node", "ControlNode", "has_majority_contact", "check_serving")(settings(), Quiet())
     one.id = "f-127.0.0.1"
     one.known["plan"] = {
         "stamp": 5,
@@ -101,7 +101,7 @@
 def told(n: int):
     """A control node that told another one all replicas, and since then heard a beat of each that says nothing new."""
     one = core(n)
-    one.peers.told[OTHER] = need("control.peers", "PeerReport")("x", one.registry.beat_turn)
+    one.peers.reports[OTHER] = need("control.peers", "PeerReport")("x", one.registry.beat_turn)
     for i in range(n):
         one.registry.beat(entry(i, 2), one.clock.now())
     return one
@@ -113,7 +113,7 @@
 
     def function():
         for _ in range(10):
-            pack(env(call=1, verb="core.ping", head=orjson.dumps(one.peers.ping_doc(OTHER))))
+            pack(env(call=1, verb="core.ping", head=orjson.dumps(one.peers.ping_document(OTHER))))
 
     yield function, 10
 
@@ -122,17 +122,17 @@
 async def _take(n):
     here, there = core(0), core(n)
     there.id = here.id  # the card of the same node: no second ping loop is begun
-    here.peers.heed(orjson.loads(orjson.dumps(there.peers.ping_doc(OTHER))))  # the whole entries
-    there.peers.told[OTHER] = need("control.peers", "PeerReport")("x", there.registry.beat_turn)
+    here.peers.merge_ping(orjson.loads(orjson.dumps(there.peers.ping_document(OTHER))))  # the whole entries
+    there.peers.reports[OTHER] = need("control.peers", "PeerReport")("x", there.registry.beat_turn)
     raws = []
     for k in range(5):
         for i in range(n):
             there.registry.beat(entry(i, k + 2), there.clock.now())
-        raws.append(orjson.dumps(there.peers.ping_doc(OTHER)))
+        raws.append(orjson.dumps(there.peers.ping_document(OTHER)))
 
     def function():
         for raw in raws:
-            if here.peers.heed(orjson.loads(raw)):
+            if here.peers.merge_ping(orjson.loads(raw)):
                 raise ValueError("a beat told in short was not known")
 
     yield function, 5
@@ -142,13 +142,13 @@
 @probe("ping.bytes", "bytes", "a framed ping with beats that say nothing new", "beats", (100, 400, 1600))
 async def _ping_bytes(n):
     one, pack, env = told(n), need("rpc.framing", "pack"), need("rpc", "Envelope")
-    yield (lambda: len(pack(env(call=1, verb="core.ping", head=orjson.dumps(one.peers.ping_doc(OTHER)))))), 1
+    yield (lambda: len(pack(env(call=1, verb="core.ping", head=orjson.dumps(one.peers.ping_document(OTHER)))))), 1
 
 
 @probe("ping.whole_bytes", "bytes", "a framed ping with changed entries", "entries", (100, 400, 1600))
 async def _ping_whole(n):
     one, pack, env = core(n), need("rpc.framing", "pack"), need("rpc", "Envelope")
-    yield (lambda: len(pack(env(call=1, verb="core.ping", head=orjson.dumps(one.peers.ping_doc(OTHER)))))), 1
+    yield (lambda: len(pack(env(call=1, verb="core.ping", head=orjson.dumps(one.peers.ping_document(OTHER)))))), 1
 
 
 @probe("ping.live_bytes", "bytes", "words about live requests in a ping", "words", (50, 200, 800))
@@ -156,7 +156,7 @@
     one = core(0)
     for i in range(n):
         one.live.put(f"edge-region-{i % 421}", {f"service-{i // 421:02d}": 3.25}, one.clock.now())
-    yield (lambda: len(orjson.dumps(one.peers.ping_doc(OTHER)))), 1
+    yield (lambda: len(orjson.dumps(one.peers.ping_document(OTHER)))), 1
 
 
 @probe("news.whole", "cpu", "answer a new reader with the whole roll", "replicas", (500, 1500, 4500))
@@ -207,12 +207,12 @@
 @probe("beat.call", "cpu", "decode, fold and answer a beat, without its HTTP", "beats", (500, 1000, 2000))
 async def _call(n):
     one, decode = core(n), need("control.api_requests", "decode")
-    need("control.admin_api", "AdminApi", "beat")
+    need("control.admin_api", "AdminApi", "record_heartbeat")
     raws = [(f"/api/instances/{entry(i)['id']}", beat_body(i, 9)) for i in range(n)]
 
     async def function():
         for path, raw in raws:
-            await one.administration.beat(decode("PUT", path, {}, raw))
+            await one.admin_api.record_heartbeat(decode("PUT", path, {}, raw))
 
     yield function, 1
 
--- a/archhatch/control/admin_api.py
+++ b/archhatch/control/admin_api.py
@@ -22,7 +22,7 @@
     Retire,
     decode,
 )
-from .registers import OTHERS, PLAN
+from .registers import SERVICE_SHARDS, PLAN
 
 DONE = 1000
 NO_ROOM = 2204
@@ -41,8 +41,8 @@
         self.node = node
         self.duties = SingletonRoleAdmin(node, PLAN)
         self.calls = {
-            HeartbeatRequest: self.beat,
-            DeregisterRequest: self.gone,
+            HeartbeatRequest: self.record_heartbeat,
+            DeregisterRequest: self.deregister,
             PutPlan: self._put_plan,
             GetPlan: self._get_plan,
             PutVersion: self._put_version,
@@ -61,7 +61,7 @@
             node.counters.add(f"call.bad.{e.code}")
             return error_result(e.code, e.why)
         node.counters.add("call." + type(command).__name__)
-        if not node.serving():
+        if not node.check_serving():
             node.counters.add("call.not_serving")
             return error_result(UNREACHED, after_s=node.quiet_s)
         try:
@@ -71,7 +71,7 @@
 
     # -- replicas
 
-    async def beat(self, command: HeartbeatRequest):
+    async def record_heartbeat(self, command: HeartbeatRequest):
         """A heartbeat; `draining` is acknowledged once a majority has heard of it."""
         node, entry = self.node, command.entry
         turn = node.registry.turn
@@ -82,7 +82,7 @@
             await self._spread(entry)
         return json_result(1000, {})
 
-    async def gone(self, command: DeregisterRequest):
+    async def deregister(self, command: DeregisterRequest):
         """A replica ends."""
         node = self.node
         nameless = {
@@ -143,7 +143,7 @@
         return model
 
     async def _put_version(self, command: PutVersion):
-        shard = shard_of(self._service_of(command.model), OTHERS)
+        shard = shard_of(self._service_of(command.model), SERVICE_SHARDS)
         return await self._run(shard, "named.put", {"model": command.model, "rev": command.rev})
 
     async def _retire(self, command: Retire):
--- a/archhatch/control/agreement.py
+++ b/archhatch/control/agreement.py
@@ -9,7 +9,7 @@
 from ..rpc import CallError, Refusal
 from ..wal import LogError
 from ..consensus.reconfiguration import GroupSize, Patience, Sight, wanted_group
-from .registers import PARTS, PLAN, commands
+from .registers import SHARDS, PLAN, commands
 
 UNREACHED = 3003
 OVERDUE = 2  # times the time after which a node counts as silent: so long an owner may take to settle a register
@@ -29,7 +29,7 @@
         settings = node.settings
         self.known: dict[str, dict] = {}  # register -> the newest state that is known to be chosen
         self.chosen: dict[str, int] = {}  # register -> the highest version that anyone told to be chosen
-        self.acceptors = {shard: Acceptor(shard, None, node.counters) for shard in PARTS}
+        self.acceptors = {shard: Acceptor(shard, None, node.counters) for shard in SHARDS}
         self.proposers: dict[str, Proposer] = {}
         self.founders: dict | None = None
         self.size = GroupSize.for_losses(settings.tolerate)
@@ -53,7 +53,7 @@
     def start(self) -> None:
         """Make the proposers; needs the node's identity."""
         node = self.node
-        for shard in PARTS:
+        for shard in SHARDS:
             self.proposers[shard] = Proposer(
                 shard,
                 node.id,
@@ -126,7 +126,7 @@
     def behind(self) -> set:
         """Registers of which this node knows a newer version than it holds: chosen, or accepted by a voter."""
         node, now, out = self.node, self.node.clock.now(), set()
-        for shard in PARTS:
+        for shard in SHARDS:
             group = self.group(shard)
             voters = members(group) if group else {}
             newest = max(self.chosen.get(shard, NOTHING), node.contact.newest(shard, voters, now))
@@ -249,7 +249,7 @@
     def needed_for_leaving(self) -> bool:
         """Whether this node, which is to end, still votes somewhere although another could take its place."""
         node = self.node
-        states = [s for s in map(self.group, PARTS) if s is not None]
+        states = [s for s in map(self.group, SHARDS) if s is not None]
         voting = [s for s in states if node.id in members(s)]
         spares = [i for i in node.cores.cards if node.available(i) and any(i not in s["voters"] for s in voting)]
         return any(spares or len(s["voters"]) > self.size.least for s in voting)
--- a/archhatch/control/feed.py
+++ b/archhatch/control/feed.py
@@ -8,7 +8,7 @@
 from ..runtime import encode_kept
 from ..rpc import Refusal
 from .history import RegisterHistory
-from .registers import news_view
+from .registers import feed_view
 
 UNREACHED = 3003
 
@@ -31,11 +31,11 @@
         node, now = self.node, self.node.clock.now()
         if doc["who"]["klass"] == "store":
             node.stores.hear(doc["who"], now)
-        node.peers.heed_live(doc["who"]["id"], doc["live"])
+        node.peers.merge_live_requests(doc["who"]["id"], doc["live"])
         node.regions.heed(doc.get("served", ()))
         end = now + doc["hold"]
         while True:
-            if node.leaving or not node.serving():
+            if node.leaving or not node.check_serving():
                 raise Refusal(UNREACHED)
             turn = node.state_board.turn("news")
             left = end - node.clock.now()
@@ -74,7 +74,7 @@
         state = self.node.registers.known[shard]
         history = self._histories.setdefault(shard, RegisterHistory())
         if history.version != state["stamp"]:
-            history.note(state["stamp"], news_view(shard, state["val"]))
+            history.note(state["stamp"], feed_view(shard, state["val"]))
             self._part_bytes = {key: raw for key, raw in self._part_bytes.items() if key[0] != shard}
         have = self._part_bytes.get((shard, base))
         if have is None:
--- a/archhatch/control/handlers.py
+++ b/archhatch/control/handlers.py
@@ -4,7 +4,7 @@
 
 from ..membership import shard_of
 from ..rpc import Handlers, Refusal
-from .registers import OTHERS
+from .registers import SERVICE_SHARDS
 
 UNREACHED = 3003
 ANY_SERVICE = "of:"  # prefix of a service's name in place of a register's: the register that holds the service
@@ -52,11 +52,11 @@
 
     @handlers.on("do")
     async def _route(doc, body):
-        if not node.serving():
+        if not node.check_serving():
             raise Refusal(UNREACHED)
         shard = doc["part"]
         if shard.startswith(ANY_SERVICE):
-            shard = shard_of(shard.removeprefix(ANY_SERVICE), OTHERS)
+            shard = shard_of(shard.removeprefix(ANY_SERVICE), SERVICE_SHARDS)
         code, out = await node.registers.run(shard, doc["name"], doc["args"])
         if code != 1000:
             raise Refusal(code, out)
@@ -66,12 +66,12 @@
 def _peers(node, handlers) -> None:
     @handlers.on("core.ping")
     async def _ping(doc, body):
-        lack = node.peers.heed(doc)
-        return {**node.peers.ping_doc(None), "lack": lack}
+        lack = node.peers.merge_ping(doc)
+        return {**node.peers.ping_document(None), "lack": lack}
 
     @handlers.on("roll.push")
     async def _push(doc, body):
-        node.peers.take_roll(doc["roll"])
+        node.peers.merge_replicas(doc["roll"])
         return {"me": node.id}
 
     @handlers.on("fitness")
@@ -81,9 +81,9 @@
     @handlers.on("live")
     async def _live(doc, body):
         if not doc.get("spread", True):
-            node.peers.heed_sum(doc["id"], doc["live"])
+            node.peers.merge_live_totals(doc["id"], doc["live"])
             return
-        node.peers.heed_live(doc["id"], doc["live"])
+        node.peers.merge_live_requests(doc["id"], doc["live"])
         word = {"id": node.id, "live": node.live.own(node.clock.now()), "spread": False}
         for card in list(node.cores.cards.values()):
             node.task_group.once("live", node.call, card["addr"], "live", word)
--- a/archhatch/control/leases.py
+++ b/archhatch/control/leases.py
@@ -26,10 +26,10 @@
     return 1000, leases[args["duty"]], True
 
 
-def held_under(value: dict, duty: str, term: int) -> bool:
+def is_held_under(value: dict, duty: str, term: int) -> bool:
     """Whether a term is the one under which a duty is held.
 
-    >>> held_under({"leases": {"d": {"term": 3}}}, "d", 3), held_under({"leases": {"d": {"term": 3}}}, "d", 2)
+    >>> is_held_under({"leases": {"d": {"term": 3}}}, "d", 3), is_held_under({"leases": {"d": {"term": 3}}}, "d", 2)
     (True, False)
     """
     return value.get("leases", {}).get(duty, {}).get("term") == term
--- a/archhatch/control/node.py
+++ b/archhatch/control/node.py
@@ -20,7 +20,7 @@
 from .feed import ConfigFeed
 from .handlers import register_handlers
 from .peers import Peers
-from .registers import PARTS, PLAN
+from .registers import SHARDS, PLAN
 from .store_membership import StoreMembershipController
 
 PING = 1 / 15  # of ContactMs: the pause between pings
@@ -75,13 +75,13 @@
         self.registers = Registers(self)
         self.peers = Peers(self)
         self.feed = ConfigFeed(self)
-        self.store_duty = StoreMembershipController(self)
+        self.store_membership = StoreMembershipController(self)
         self.regions = RegionMonitor(self, PLAN)
         self.evacuations = EvacuationController(self, PLAN)
-        self.administration = AdminApi(self)
+        self.admin_api = AdminApi(self)
         self.verbs = register_handlers(self)
         self.desk = network.server(self.verbs, log, self.counters, lambda: self.id)
-        self.window = HttpServer(self.administration.answer, log, self.counters)
+        self.window = HttpServer(self.admin_api.answer, log, self.counters)
 
     # -- life
 
@@ -162,14 +162,14 @@
         """Whether this node's log takes records: the last write went through, and none has waited for long."""
         return self.wal.healthy and self.wal.oldest_write_age(self.clock.now()) < self.quiet_s
 
-    def in_touch(self) -> bool:
+    def has_majority_contact(self) -> bool:
         """Whether a majority of the configuration's group answered this node within the bound."""
         group = self.registers.group(PLAN)
         return group is not None and self.contact.reached(self.id, group, self.clock.now())
 
-    def serving(self) -> bool:
+    def check_serving(self) -> bool:
         """Whether this node may answer callers: in touch, and as new as what that majority holds."""
-        return self.gate.look(self.in_touch(), self.registers.behind(), self.clock.now())
+        return self.gate.look(self.has_majority_contact(), self.registers.behind(), self.clock.now())
 
     def condition(self) -> dict:
         """What the doctor asks for."""
@@ -182,8 +182,8 @@
         }
         return {
             "id": self.id,
-            "in_touch": self.in_touch(),
-            "serving": self.serving(),
+            "in_touch": self.has_majority_contact(),
+            "serving": self.check_serving(),
             "voters": len(voters),
             "least_voters": self.registers.size.least,
             "up": sum(1 for v in voters if v == self.id or self.contact.proven(v, now)),
@@ -244,19 +244,19 @@
         while True:
             before = self.clock.now()
             # while a register is still unknown, as after a start, each moment counts
-            hurry = 1.0 if len(self.known) == len(PARTS) else HURRY
+            hurry = 1.0 if len(self.known) == len(SHARDS) else HURRY
             turn = await self.state_board.wait_for_change(
                 "tend", turn, self.heartbeat_interval_s * random.uniform(1.0, 1.6) * hurry
             )
             if self.clock.now() - before > self.quiet_s:
                 self.started = self.clock.now()  # this node stood still: what it heard long ago says nothing
                 self.counters.add("woke")
-            self.peers.heed_disk(self.id, self.disk_takes())
-            if not self.in_touch():
+            self.peers.note_disk_health(self.id, self.disk_takes())
+            if not self.has_majority_contact():
                 continue
             settled = self.clock.now() - self.started >= self.heartbeat_interval_s * SETTLED_PINGS
-            for shard in PARTS:
+            for shard in SHARDS:
                 if self.owns(shard) or self.registers.overdue(shard):
                     await self.registers.tend(shard, settled)
-            if settled and self.serving():
-                await self.store_duty.tend()
+            if settled and self.check_serving():
+                await self.store_membership.tend()
--- a/archhatch/control/peers.py
+++ b/archhatch/control/peers.py
@@ -27,12 +27,12 @@
 class Peers:
     """Keeps pinging the other control nodes, and folds what they tell.
 
-    >>> # peers = Peers(node); peers.start(); doc = peers.ping_doc("10.0.0.2:7380")
+    >>> # peers = Peers(node); peers.start(); doc = peers.ping_document("10.0.0.2:7380")
     """
 
     def __init__(self, node):
         self.node = node
-        self.told: dict[str, PeerReport] = {}  # address -> what the node there has surely taken up
+        self.reports: dict[str, PeerReport] = {}  # address -> what the node there has surely taken up
         self.leaving: set = set()  # nodes that said that they are about to end
         self._disk_fails_since: dict[str, float] = {}
         seeds = {f"{seed.rsplit(':', 1)[0]}:{node.settings.ports[0]}" for seed in node.settings.seeds}
@@ -52,7 +52,7 @@
 
     # -- what is told
 
-    def ping_doc(self, address: str | None) -> dict:
+    def ping_document(self, address: str | None) -> dict:
         """What a ping, or its answer (no address), tells."""
         node, now = self.node, self.node.clock.now()
         doc = {
@@ -66,7 +66,7 @@
         }
         if address is None:
             return {**doc, "others": self._others()}
-        told = self.told.get(address, NOTHING_TOLD)
+        told = self.reports.get(address, NOTHING_TOLD)
         if self._names(others := self._others()) != told.others:
             doc["others"] = others
         if node.regions.served:
@@ -98,21 +98,21 @@
 
     # -- what is heard
 
-    def heed(self, doc: dict) -> bool:
+    def merge_ping(self, doc: dict) -> bool:
         """Take up a ping or its answer; True if it was told in short of replicas that are not known here."""
         node, now = self.node, self.node.clock.now()
         self._heed_card(doc["card"], now)
         self._heed_leaving(doc["card"]["id"], doc.get("leaving", False))
-        self.heed_disk(doc["card"]["id"], doc.get("takes", True))
+        self.note_disk_health(doc["card"]["id"], doc.get("takes", True))
         for other in doc.get("others", []) + [doc["card"]]:
             if other["id"] != node.id and other["addr"] != node.address:
                 if other["id"] not in node.cores.cards and not self._at(other["addr"]):
                     node.cores.learn(other)
                 self.watch(other["addr"])
-        lack = self.take_roll(doc.get("roll") or [])
+        lack = self.merge_replicas(doc.get("roll") or [])
         lack = self._take_stores(doc.get("stores") or [], now) or lack
         if "live" in doc:
-            self.heed_sum(doc["card"]["id"], doc["live"])
+            self.merge_live_totals(doc["card"]["id"], doc["live"])
         node.regions.heed(doc.get("served", ()))
         for shard in node.registers.told_chosen(doc["stamps"]):
             node.task_group.once("hear", self.fetch_state, doc["card"]["addr"], shard, doc["card"]["id"])
@@ -138,7 +138,7 @@
         elif not leaving:
             self.leaving.discard(node_id)
 
-    def heed_disk(self, node_id: str, takes: bool) -> None:
+    def note_disk_health(self, node_id: str, takes: bool) -> None:
         """Whether a node's disk takes records, by its own word."""
         if takes:
             self._disk_fails_since.pop(node_id, None)
@@ -153,11 +153,11 @@
     def _at(self, address: str) -> list:
         return [i for i, card in self.node.cores.cards.items() if card["addr"] == address]
 
-    def heed_live(self, edge: str, live: dict) -> None:
+    def merge_live_requests(self, edge: str, live: dict) -> None:
         """Live requests that an edge told of here, by service."""
         self._fold_live(self.node.live.put, edge, live)
 
-    def heed_sum(self, node_id: str, live: dict) -> None:
+    def merge_live_totals(self, node_id: str, live: dict) -> None:
         """Live requests that another control node was told of, by service."""
         self._fold_live(self.node.live.put_sum, node_id, live)
 
@@ -178,7 +178,7 @@
                 lack = not stores.sight(word, now - age) or lack
         return lack
 
-    def take_roll(self, entries: list) -> bool:
+    def merge_replicas(self, entries: list) -> bool:
         """Fold what another control node told of replicas; True if something in short form is not known here."""
         node, now = self.node, self.node.clock.now()
         turn, lack = node.registry.turn, False
@@ -226,16 +226,16 @@
         node = self.node
         turn, stores, sent_at = node.registry.beat_turn, node.stores.turn, node.clock.now()
         others = self._names(self._others())
-        out = await node.call(address, "core.ping", self.ping_doc(address))
-        node.serving()  # a loss of contact is seen before the answer hides it, as after a freeze
+        out = await node.call(address, "core.ping", self.ping_document(address))
+        node.check_serving()  # a loss of contact is seen before the answer hides it, as after a freeze
         if out is None:
-            self.told.pop(address, None)
+            self.reports.pop(address, None)
             return False
         node.contact.note(out["card"]["id"], sent_at, out.get("accepted", {}))
         self._note_time(out, sent_at)
-        self.heed(out)
-        node.serving()
+        self.merge_ping(out)
+        node.check_serving()
         # one that started anew since was told the rest in another life: it is told all again
-        anew = out["lack"] or self.told.get(address, PeerReport(out["life"])).incarnation != out["life"]
-        self.told[address] = PeerReport(out["life"]) if anew else PeerReport(out["life"], turn, stores, others)
+        anew = out["lack"] or self.reports.get(address, PeerReport(out["life"])).incarnation != out["life"]
+        self.reports[address] = PeerReport(out["life"]) if anew else PeerReport(out["life"], turn, stores, others)
         return True
--- a/archhatch/control/registers.py
+++ b/archhatch/control/registers.py
@@ -8,8 +8,8 @@
 from . import config_commands, leases, store_commands
 
 PLAN = "plan"
-OTHERS = ["p0", "p1", "p2"]
-PARTS = [PLAN] + OTHERS
+SERVICE_SHARDS = ["p0", "p1", "p2"]
+SHARDS = [PLAN] + SERVICE_SHARDS
 
 commands = Commands()
 commands.table.update(facts.commands.table)
@@ -35,7 +35,7 @@
     return 1000, {"Revision": args["rev"]}, True
 
 
-def news_view(shard: str, value: dict) -> dict:
+def feed_view(shard: str, value: dict) -> dict:
     """What of a part's value other nodes need."""
     if shard == PLAN:
         return {
--- a/archhatch/control/store_commands.py
+++ b/archhatch/control/store_commands.py
@@ -57,10 +57,11 @@
     return Quorum.read(args.get("quorum")).spares(left)
 
 
-def begun(value: dict, run: str) -> int:
+def begun_term(value: dict, run: str) -> int:
     """The highest term of a run that has begun. Registers written before terms were noted hold other marks.
 
-    >>> begun({"runs": {"a": 3, "b": "old"}}, "a"), begun({"runs": {"a": 3, "b": "old"}}, "b"), begun({}, "a")
+    >>> value = {"runs": {"a": 3, "b": "old"}}
+    >>> begun_term(value, "a"), begun_term(value, "b"), begun_term({}, "a")
     (3, 0, 0)
     """
     term = value.get("runs", {}).get(run)
@@ -73,7 +74,7 @@
     >>> cleared({"runs": {"a": 2}}, {"clear": {"a": 1}}), cleared({"runs": {"a": 2}}, {"clear": {"a": 2}})
     (False, True)
     """
-    return all(run in store["clear"] and store["clear"][run] >= begun(value, run) for run in value.get("runs", {}))
+    return all(run in store["clear"] and store["clear"][run] >= begun_term(value, run) for run in value.get("runs", {}))
 
 
 def votes(value: dict, sid: str) -> bool:
@@ -123,8 +124,8 @@
     store = stores.get(args["id"])
     if store is None or store["state"] != LEAVING:
         return 1000, None, False
-    if args["term"] < begun(value, args["run"]):
-        return 2018, begun(value, args["run"]), False
+    if args["term"] < begun_term(value, args["run"]):
+        return 2018, begun_term(value, args["run"]), False
     if any(other not in stores or stores[other]["state"] != ACTIVE for other in args.get("counted", ())):
         return 2018, "membership", False
     if store["clear"].get(args["run"], NOT_BEGUN) >= args["term"]:
@@ -153,7 +154,7 @@
     2018 if a higher term has begun already.
     """
     runs = value.setdefault("runs", {})
-    before = begun(value, args["run"])
+    before = begun_term(value, args["run"])
     if args["term"] < before:
         return 2018, before, False
     did = runs.get(args["run"]) != args["term"]
--- a/archhatch/evacuation/commands.py
+++ b/archhatch/evacuation/commands.py
@@ -8,8 +8,8 @@
 from __future__ import annotations
 
 from ..consensus import Commands
-from ..control.leases import OTHER_TERM, held_under
-from ..control.store_commands import begun
+from ..control.leases import OTHER_TERM, is_held_under
+from ..control.store_commands import begun_term
 from .plans import mark
 from .record import BEFORE_MOVE, FINAL, STEPS, Place, EvacuationState
 
@@ -173,7 +173,7 @@
 
 def _held(value: dict, args: dict):
     """The record, if the duty is still held under the term of the command; else a refusal."""
-    if not held_under(value, DUTY, args["term"]):
+    if not is_held_under(value, DUTY, args["term"]):
         return None, (OTHER_TERM, DUTY, False)
     record = value.get("evacuations", {}).get(args["id"])
     return record, None if record is not None else (UNKNOWN, args["id"], False)
@@ -234,8 +234,8 @@
     record = value.get("evacuations", {}).get(args["id"])
     if record is None:
         return UNKNOWN, args["id"], False
-    if args["run_term"] < begun(value, args["run"]):
-        return OTHER_TERM, begun(value, args["run"]), False
+    if args["run_term"] < begun_term(value, args["run"]):
+        return OTHER_TERM, begun_term(value, args["run"]), False
     if (record["state"], record["placed"]) != (args["state"], args["placed"]):
         return WRONG_STATE, f"it is {record['state']}", False
     row = {"term": args["run_term"], "copied": bool(args["copied"]), "drained": bool(args["drained"])}
--- a/archhatch/evacuation/controller.py
+++ b/archhatch/evacuation/controller.py
@@ -11,7 +11,7 @@
 
 from ..region_policy import Placement
 from ..jobs import active
-from ..control.store_commands import begun
+from ..control.store_commands import begun_term
 from ..routing import RoutingTable
 from .commands import ACKNOWLEDGED, DUTY, FAILED, NO_KEY, TERM_OVER
 from .record import FINAL, Place, EvacuationState
@@ -78,7 +78,7 @@
                 self._since.clear()
                 await node.state_board.wait_for_change("plan", turn)
                 continue
-            if node.in_touch() and node.owns(self.shard) and "plan" in self._val():
+            if node.has_majority_contact() and node.owns(self.shard) and "plan" in self._val():
                 await self.tend()
             else:
                 self._term = None
@@ -225,7 +225,8 @@
         return [
             run
             for run in sorted(needs.runs)
-            if begun(value, run) and not (reports.get(run, {}).get(what) and reports[run]["term"] >= begun(value, run))
+            if begun_term(value, run)
+            and not (reports.get(run, {}).get(what) and reports[run]["term"] >= begun_term(value, run))
         ]
 
     def _waits_for(self, record: dict, what: str) -> str:
--- a/archhatch/region_policy/region_monitor.py
+++ b/archhatch/region_policy/region_monitor.py
@@ -56,7 +56,7 @@
     async def tend(self, value: dict) -> None:
         """One look at all regions."""
         core, now = self.core, self.core.clock.now()
-        if not core.in_touch():
+        if not core.has_majority_contact():
             self.last = None
             return
         if self.last is None or now - self.last > core.quiet_s:
--- a/archhatch/simulation/planted_faults.py
+++ b/archhatch/simulation/planted_faults.py
@@ -245,4 +245,4 @@
 
 @plant("feed-without-contact", "a control node serves only on a proof of contact with a majority (model control)")
 def _feed_without_contact():
-    yield mock.patch.object(ControlNode, "serving", lambda self: True)
+    yield mock.patch.object(ControlNode, "check_serving", lambda self: True)
--- a/archhatch/simulation/repair.py
+++ b/archhatch/simulation/repair.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass, replace
 
-from ..control.registers import PARTS
+from ..control.registers import SHARDS
 from .control_node import SimulatedControlNode
 from .deployment import Deployment
 from .faults import Fault, FaultKind
@@ -68,7 +68,7 @@
     """Whether every register's group, by its newest chosen state, would keep a majority that holds this state if any
     FaultTolerance of its voters were lost."""
     nodes = [machine.node.node for machine in deployment.machines if machine.running and machine.node is not None]
-    return all(_bears(shard, nodes, deployment.shape.tolerance) for shard in PARTS)
+    return all(_bears(shard, nodes, deployment.shape.tolerance) for shard in SHARDS)
 
 
 def _bears(shard: str, nodes: list, losses: int) -> bool:
--- a/benchmarks/microbench.py
+++ b/benchmarks/microbench.py
@@ -107,7 +107,7 @@
         }
     )
     core = ControlNode(settings, open_logs("bench", "CRITICAL"))
-    core.in_touch = lambda: True
+    core.has_majority_contact = lambda: True
     for e in entries(count):
         core.registry.beat(e, 0.0)
     core.known["plan"] = {
@@ -163,9 +163,9 @@
     def ping(k):
         for e in ents:
             a.registry.beat({**e, "seq": k + 2}, 0.0)
-        raw = orjson.dumps(a.peers.ping_doc("b:1"))
-        b.peers.take_roll(orjson.loads(raw)["roll"])
-        a.peers.told["b:1"] = PeerReport("x", a.registry.beat_turn)
+        raw = orjson.dumps(a.peers.ping_document("b:1"))
+        b.peers.merge_replicas(orjson.loads(raw)["roll"])
+        a.peers.reports["b:1"] = PeerReport("x", a.registry.beat_turn)
         return len(raw)
 
     ping(0)
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -21,7 +21,7 @@
 from archhatch.jobs import Record, RecordStore, unpack
 from archhatch.consensus import Acceptor
 from archhatch.control.node import ControlNode
-from archhatch.control.registers import PARTS
+from archhatch.control.registers import SHARDS
 from archhatch.control.registers import commands as register_commands
 from archhatch.share_group import SharePartition, WindowJournal
 from archhatch.evacuation.plans import read_plan
@@ -358,7 +358,7 @@
 
 async def _build_core(folder):
     node = await _core_node(folder)
-    other = {shard: Acceptor(shard, MemBook(), Counters()) for shard in PARTS}
+    other = {shard: Acceptor(shard, MemBook(), Counters()) for shard in SHARDS}
     me, second = "f-10.0.0.1", "f-10.0.0.2"
     address, second_address = node.address, "10.0.0.2:1"
     node.id, node.registers.founders = me, {me: address}
@@ -372,7 +372,7 @@
     node.ask, node.peers.spread_commit = ask, lambda *told: None
     registers, lines = node.registers, []
     registers.start()
-    for shard in PARTS:
+    for shard in SHARDS:
         registers.proposers[shard].incarnation = f"life-{shard}"
 
     async def take(steps):
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -80,7 +80,7 @@
 
     def __init__(self):
         live = types.SimpleNamespace(busy=lambda now: {})
-        peers = types.SimpleNamespace(heed_live=lambda edge, live: None)
+        peers = types.SimpleNamespace(merge_live_requests=lambda edge, live: None)
         registers = types.SimpleNamespace(known={}, chosen={})
         cores = types.SimpleNamespace(cards={})
         agreed_time = types.SimpleNamespace(known=False)
@@ -88,7 +88,7 @@
             agreed_time=agreed_time,
             clock=HandClock(), registers=registers, live=live, peers=peers, cores=cores, state_board=StateBoard(),
             quiet_s=1.0,
-            regions=types.SimpleNamespace(heed=lambda words: None), leaving=False, serving=lambda: True,
+            regions=types.SimpleNamespace(heed=lambda words: None), leaving=False, check_serving=lambda: True,
             incarnation="L",
             id="core", address="10.0.0.1:7380", counters=Counters(), available=lambda i: True,
             registry=types.SimpleNamespace(turn=0, since=lambda turn: []),
--- a/tests/evacuation/test_commands.py
+++ b/tests/evacuation/test_commands.py
@@ -7,7 +7,7 @@
 
 from archhatch.region_policy import Placement
 from archhatch.region_policy.reader import read_policy
-from archhatch.control.registers import commands, news_view
+from archhatch.control.registers import commands, feed_view
 from archhatch.evacuation.commands import KEEP_FINAL
 from archhatch.evacuation.plans import InvalidPlanError, mark, read_plan
 from archhatch.evacuation.record import FINAL, Move, Moves, Place, EvacuationState
@@ -185,7 +185,7 @@
     register.do("evacuation.cancel", id="e1", why="")
     assert register.value["evacuations"]["e1"]["placed"] == "target"  # until the copies are back
     assert register.step("returning")[0] == 1000 and register.value["evacuations"]["e1"]["placed"] == "origin"
-    assert register.step("cancelled")[0] == 1000 and "evacuations" not in news_view("plan", register.value)
+    assert register.step("cancelled")[0] == 1000 and "evacuations" not in feed_view("plan", register.value)
 
 
 FENCES = [  # term of the step, state it saw, wanted state, code
@@ -261,7 +261,7 @@
     if out:
         value["regions"] = {out: {"epoch": 1, "out": {"*": {}}}}
     placement = Placement()
-    placement.fold(news_view("plan", value))
+    placement.fold(feed_view("plan", value))
     assert (
         placement.order(Route) == order and placement.zones(Route) == {"a": {"z1"}, "b": {"z2"}, "c": {"z3"}}[order[0]]
     )
--- a/tests/region_policy/test_region_policy.py
+++ b/tests/region_policy/test_region_policy.py
@@ -14,7 +14,7 @@
 from archhatch.region_policy.patterns import fits, meet
 from archhatch.region_policy.reader import read_policy
 from archhatch.control.api_requests import InvalidRequestError, OnPolicy, decode
-from archhatch.control.registers import commands, news_view
+from archhatch.control.registers import commands, feed_view
 from archhatch.upstream import LoadBalancer
 
 ZONES = {"z1": "attica", "z2": "thessaly", "z3": "crete"}
@@ -281,7 +281,7 @@
 def test_without_a_policy_nothing_is_kept(name, args):
     value = {"plan": {"Revision": 1}}
     assert do(value, name, **args)[0] == 2103 and value == {"plan": {"Revision": 1}}
-    assert "policy" not in news_view("plan", value) and "regions" not in news_view("plan", value)
+    assert "policy" not in feed_view("plan", value) and "regions" not in feed_view("plan", value)
 
 
 def test_out_and_back_raise_the_epoch_once():
@@ -375,7 +375,7 @@
     for region, rule in facts.items():
         out(value, region, rule)
     p = Placement()
-    p.fold(news_view("plan", value))
+    p.fold(feed_view("plan", value))
     return p
 
 
@@ -475,7 +475,7 @@
     put(value)
     for region, rule in facts.items():
         out(value, region, rule)
-    rows = explain(news_view("plan", value), route(), asked)
+    rows = explain(feed_view("plan", value), route(), asked)
     assert rows[-1] == last and "rule quotes of policy version 1" in rows[0] and "  never: crete" in rows
 
 
@@ -495,7 +495,7 @@
     put(value, text)
     for region in facts or ():
         out(value, region, "*")
-    p.placement.fold(news_view("plan", value))
+    p.placement.fold(feed_view("plan", value))
     return p
 
 
--- a/tests/region_policy/test_watch.py
+++ b/tests/region_policy/test_watch.py
@@ -187,7 +187,7 @@
         )
         self.duty = RegionMonitor(self, "plan")
 
-    def in_touch(self):
+    def has_majority_contact(self):
         return self.touch
 
     def owns(self, shard):
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -187,7 +187,7 @@
         try:
             lone = w.cores[1]
             cut = Cut(lone, lambda ip: True)  # it is heard no more, though it still hears the others
-            await w.until(lone.state_board, "nothing", lambda: not lone.serving())
+            await w.until(lone.state_board, "nothing", lambda: not lone.check_serving())
             async with w.http.put(f"http://{w.net}.1.1:{w.control}/api/instances/i", data=b"{}") as response:
                 assert response.status == 400  # what cannot be read is refused by anyone
             beat = orjson.dumps(w.replicas[2].beat("draining"))
@@ -197,10 +197,10 @@
                 assert response.status == 503  # a draining that it cannot spread is not acknowledged
             assert await w.put_plan(plan(5), 1) == 200
             await w.until(w.edge.state_board, "parts", lambda: w.edge.plan.stamp == 5)
-            assert lone.registers.chosen["plan"] > 0 and not lone.serving()
+            assert lone.registers.chosen["plan"] > 0 and not lone.check_serving()
             cut.heal()
             await w.until(
-                lone.state_board, "news", lone.serving
+                lone.state_board, "news", lone.check_serving
             )  # it serves again, and no older version than the others
             assert lone.known["plan"]["val"]["plan"]["Revision"] == 5
         finally:
@@ -216,7 +216,7 @@
             for new, old in ((4, 1), (5, 2), (6, 3)):
                 await w.add_core(new, first=False)
                 node = w.cores[new]
-                await w.until(node.state_board, "news", lambda: len(node.known) == 4 and node.serving())
+                await w.until(node.state_board, "news", lambda: len(node.known) == 4 and node.check_serving())
                 gone = w.cores.pop(old)
                 await gone.leave()  # a spare takes its place in every group before it ends
                 await w.until(
--- a/tests/upstream/test_subset.py
+++ b/tests/upstream/test_subset.py
@@ -246,7 +246,7 @@
 
 def core(n=1):
     c = ControlNode(settings(n), open_logs("test", "CRITICAL"), HandClock())
-    c.id, c.in_touch = f"c{n}", lambda: True
+    c.id, c.has_majority_contact = f"c{n}", lambda: True
     return c
 
 
@@ -263,12 +263,12 @@
                 },
                 a.clock.now(),
             )
-        doc = orjson.loads(orjson.dumps(a.peers.ping_doc(b.address)))
+        doc = orjson.loads(orjson.dumps(a.peers.ping_document(b.address)))
         assert ["state" in e for e in doc["roll"]] == [[True] * 3, [False] * 3, [False, True, False], [False] * 3][step]
-        assert b.peers.heed(doc) is False
-        a.peers.told[b.address] = PeerReport(b.incarnation, a.registry.beat_turn)
+        assert b.peers.merge_ping(doc) is False
+        a.peers.reports[b.address] = PeerReport(b.incarnation, a.registry.beat_turn)
         assert b.registry.all == a.registry.all
-    assert a.peers.ping_doc(b.address)["roll"] == []
+    assert a.peers.ping_document(b.address)["roll"] == []
 
 
 @pytest.mark.parametrize("known, lack", [(True, False), (False, True)])
@@ -276,7 +276,7 @@
     b = core()
     if known:
         b.registry.beat({**ents(1)[0], "seq": 1}, 0.0)
-    assert b.peers.take_roll([{"id": "i0", "seq": 2, "age": 0.5}]) is lack
+    assert b.peers.merge_replicas([{"id": "i0", "seq": 2, "age": 0.5}]) is lack
     assert b.registry.all.get("i0", {}).get("seq") == (2 if known else None)
 
 
@@ -293,8 +293,8 @@
         a = core()
         for e in ents(3):
             a.registry.beat({**e, "seq": 1}, 0.0)
-        a.peers.told["b:1"] = PeerReport("x", 2)
-        a.peers.heed, a.serving = lambda out: False, lambda: True
+        a.peers.reports["b:1"] = PeerReport("x", 2)
+        a.peers.merge_ping, a.check_serving = lambda out: False, lambda: True
         a.heartbeat_interval_s = 30.0  # one round only: its pause outlasts the test
 
         async def call(address, verb, doc):
@@ -306,7 +306,7 @@
         task = asyncio.ensure_future(a.peers.ping_loop("b:1"))
         await a.state_board.wait_for_change("asked", 0)
         await asyncio.sleep(0)
-        told = a.peers.told["b:1"]
+        told = a.peers.reports["b:1"]
         assert (told.incarnation, told.heartbeats) == acked
         task.cancel()
 
