--- a/archhatch/capacity/probes/agreement.py
+++ b/archhatch/capacity/probes/agreement.py
@@ -34,7 +34,7 @@
             out = await (one.prepare if verb == "part.prepare" else one.confirm)(proposal_number)
         return orjson.loads(orjson.dumps({"me": address, **out}))
 
-    own = need("consensus", "Proposer", "do")(
+    own = need("consensus", "Proposer", "execute")(
         "plan", "a0", need("control.registers", "commands"), asked, lambda: base, lambda *a: None, counters, 5.0
     )
     return own, books
@@ -43,13 +43,13 @@
 async def _commands(n: int, change, times: int = 4):
     tmps = [folder() for _ in range(VOTERS)]
     own, books = await owner([t.name for t in tmps], {"plan": plan(n)})
-    code, _ = await own.do("noop", {})
+    code, _ = await own.execute("noop", {})
     if code != 1000:
         raise ValueError(f"noop gives {code}")
 
     async def function():
         for k in range(times):
-            code, doc = await own.do(*change(k))
+            code, doc = await own.execute(*change(k))
             if code != 1000:
                 raise ValueError(f"a command gives {code}: {doc}")
 
--- a/archhatch/consensus/acceptor.py
+++ b/archhatch/consensus/acceptor.py
@@ -29,9 +29,9 @@
 
     def adopt(self, record: dict) -> None:
         """Take up a record read from the log; later records stand behind earlier ones."""
-        self.promised = max(self.promised, ProposalNumber.read(record["b"]))
+        self.promised = max(self.promised, ProposalNumber.from_wire(record["b"]))
         if record.get("s") is not None:
-            self.proposal_number, self.state = ProposalNumber.read(record["ab"]), record["s"]
+            self.proposal_number, self.state = ProposalNumber.from_wire(record["ab"]), record["s"]
 
     def record(self) -> bytes:
         """All that this acceptor must not forget, as one record."""
@@ -44,27 +44,27 @@
 
     async def prepare(self, proposal_number) -> dict:
         """Promise to take nothing under a lower ballot; tells what was accepted."""
-        proposal_number = ProposalNumber.read(proposal_number)
+        proposal_number = ProposalNumber.from_wire(proposal_number)
         async with self.lock:
             if proposal_number < self.promised:
                 self.counters.add("part.prepare_refused")
-                return {"ok": False, "promised": self.promised.wire()}
+                return {"ok": False, "promised": self.promised.to_wire()}
             if proposal_number > self.promised:
-                await self.wal.append(orjson.dumps({"p": self.shard, "b": proposal_number.wire()}))
+                await self.wal.append(orjson.dumps({"p": self.shard, "b": proposal_number.to_wire()}))
                 self.promised = proposal_number
-            return {"ok": True, "ballot": self.proposal_number.wire(), "state": self.state}
+            return {"ok": True, "ballot": self.proposal_number.to_wire(), "state": self.state}
 
     async def accept(self, proposal_number, state: dict) -> dict:
         """Take a state unless a higher ballot was promised, or a later state of this ballot was taken."""
-        proposal_number = ProposalNumber.read(proposal_number)
+        proposal_number = ProposalNumber.from_wire(proposal_number)
         async with self.lock:
             if proposal_number < self.promised:
                 self.counters.add("part.accept_refused")
-                return {"ok": False, "promised": self.promised.wire()}
+                return {"ok": False, "promised": self.promised.to_wire()}
             if self.state is not None and proposal_number == self.proposal_number:
                 if state["stamp"] < self.state["stamp"]:
                     self.counters.add("part.accept_stale")
-                    return {"ok": False, "promised": self.promised.wire()}
+                    return {"ok": False, "promised": self.promised.to_wire()}
                 if state["stamp"] == self.state["stamp"]:
                     return {"ok": True}  # a repeated message: one ballot never gives a version to two states
             await self.wal.append(_record(self.shard, proposal_number, proposal_number, state))
@@ -77,11 +77,11 @@
 
         A promise that is on its way to the disk has not been told to anyone, so it need not be waited for.
         """
-        ok = ProposalNumber.read(proposal_number) == self.promised
+        ok = ProposalNumber.from_wire(proposal_number) == self.promised
         if not ok:
             self.counters.add("part.confirm_refused")
-        return {"ok": ok, "promised": self.promised.wire()}
+        return {"ok": ok, "promised": self.promised.to_wire()}
 
 
 def _record(shard: str, promised: ProposalNumber, proposal_number: ProposalNumber, state: dict | None) -> bytes:
-    return orjson.dumps({"p": shard, "b": promised.wire(), "ab": proposal_number.wire(), "s": state})
+    return orjson.dumps({"p": shard, "b": promised.to_wire(), "ab": proposal_number.to_wire(), "s": state})
--- a/archhatch/consensus/commands.py
+++ b/archhatch/consensus/commands.py
@@ -37,7 +37,7 @@
             return UNKNOWN, None, False
         return function(value, args)
 
-    def run_apart(self, value: dict, name: str, args: dict):
+    def run_isolated(self, value: dict, name: str, args: dict):
         """Run one command of a batch: (code, document, changed, value after it).
 
         A command that fails on what it was given is refused alone. It works on a copy, so that no trace of it is left
@@ -46,7 +46,7 @@
         >>> c = Commands()
         >>> @c.on("bad")
         ... def bad(value, args): value["x"] = 1; raise KeyError("y")
-        >>> c.run_apart({}, "bad", {})
+        >>> c.run_isolated({}, "bad", {})
         (2001, "KeyError('y')", False, {})
         """
         trial = orjson.loads(orjson.dumps(value))
--- a/archhatch/consensus/proposal_number.py
+++ b/archhatch/consensus/proposal_number.py
@@ -17,7 +17,7 @@
 
     >>> ProposalNumber(2, "a", "x") > ProposalNumber(1, "b", "y")
     True
-    >>> ProposalNumber.read([3, "a"]) == ProposalNumber(3, "a", "")
+    >>> ProposalNumber.from_wire([3, "a"]) == ProposalNumber(3, "a", "")
     True
     """
 
@@ -26,11 +26,11 @@
     incarnation: str = ""
 
     @classmethod
-    def read(cls, shards) -> ProposalNumber:
+    def from_wire(cls, shards) -> ProposalNumber:
         """A ballot as it stands in a message or a record; records of earlier releases name no life."""
         return cls(*shards)
 
-    def wire(self) -> list:
+    def to_wire(self) -> list:
         """For a message or a record."""
         return list(self)
 
--- a/archhatch/consensus/proposer.py
+++ b/archhatch/consensus/proposer.py
@@ -52,7 +52,7 @@
             state = answer["state"]
             if state is None:
                 continue
-            rank = (ProposalNumber.read(answer["ballot"]), state["stamp"])
+            rank = (ProposalNumber.from_wire(answer["ballot"]), state["stamp"])
             if self.state is None or rank > (self.proposal_number, self.state["stamp"]):
                 self.state, self.proposal_number = state, rank[0]
 
@@ -63,25 +63,27 @@
     ask(addr, verb, doc) calls another node (or this one) and gives its answer, or None. base() gives the newest state
     that this node has seen, to know whom to ask; least() the version that is known to be chosen.
 
-    >>> # code, doc = await proposer.do("plan.get", {}); raises UnclearResultError
+    >>> # code, doc = await proposer.execute("plan.get", {}); raises UnclearResultError
     """
 
-    def __init__(self, shard, me, commands, ask, base, publish, counters, timeout_s=1.0, least=None, incarnation=None):
+    def __init__(
+        self, shard, me, commands, ask, base, publish, counters, timeout_s=1.0, chosen_version=None, incarnation=None
+    ):
         self.shard, self.me, self.commands = shard, me, commands
         self._ask, self._base, self._publish, self.counters = ask, base, publish, counters
-        self._least = least or (lambda: 0)
-        self.seconds = timeout_s
+        self._chosen_version = chosen_version or (lambda: 0)
+        self.timeout_s = timeout_s
         self.incarnation = incarnation or new_incarnation()
-        self.lead: ProposalNumber | None = None
+        self.prepared_number: ProposalNumber | None = None
         self.state: dict | None = None
-        self.settled = False
-        self.top = 0
+        self.is_committed = False
+        self.highest_round = 0
         self._queue: list[_Job] = []
         self._busy = asyncio.Lock()
         self._runner: asyncio.Task | None = None
         self._late: set = set()
 
-    async def do(self, name: str, args: dict, within: float = float("inf")):
+    async def execute(self, name: str, args: dict, within: float = float("inf")):
         """Run a command; its code and document once a majority stands behind them.
 
         A command that has not begun after `within` seconds, or whose caller has gone, is never begun.
@@ -94,7 +96,7 @@
             self._runner = loop.create_task(self._run())
         return await job.done
 
-    async def regroup(self, voters: dict) -> bool:
+    async def reconfigure(self, voters: dict) -> bool:
         """Change the group, one step at a time, through a state that both groups must accept.
 
         A newcomer learns the whole state, synced, before the change begins, so that it never votes without it.
@@ -105,7 +107,7 @@
             if self.state["prev"] and not await self._accept(self._next({"prev": None})):
                 return False
             if not voters or voters == self.state["voters"]:
-                return self.settled or await self._accept(self.state)
+                return self.is_committed or await self._accept(self.state)
             joiners = {k: v for k, v in voters.items() if k not in self.state["voters"]}
             if not await self._teach(joiners):
                 return False
@@ -118,12 +120,15 @@
     async def _teach(self, learners: dict) -> bool:
         if not learners:
             return True
-        doc = {"ballot": self.lead.wire(), "state": self.state}
+        doc = {"ballot": self.prepared_number.to_wire(), "state": self.state}
         got = await self._poll(learners, "part.accept", doc, lambda g: set(g) >= set(learners))
         if all(k in got and got[k]["ok"] for k in learners):
             return True
         if any(not a["ok"] for a in got.values()):
-            self.lead, self.settled = None, False  # it promised a higher ballot: the next try goes above it
+            self.prepared_number, self.is_committed = (
+                None,
+                False,
+            )  # it promised a higher ballot: the next try goes above it
         self.counters.add("part.learner_silent")
         return False
 
@@ -140,9 +145,9 @@
 
     async def _hold(self) -> bool:
         for _ in range(TRIES):
-            if self.lead is not None or await self._prepare():
+            if self.prepared_number is not None or await self._prepare():
                 return True
-            await asyncio.sleep(self.seconds * random.uniform(*PAUSE))
+            await asyncio.sleep(self.timeout_s * random.uniform(*PAUSE))
         return False
 
     async def _serve(self, jobs: list) -> None:
@@ -155,7 +160,7 @@
             value, results, changed = self._apply(live)
             if changed:
                 ok = await self._accept(self._next({"val": value}))
-            elif not self.settled:
+            elif not self.is_committed:
                 ok = await self._accept(self.state)
             else:
                 ok = await self._confirm()
@@ -171,7 +176,7 @@
         value, results, changed = self.state["val"], [], False
         for job in jobs:
             args = {**job.args, "at_version": self.state["stamp"]}
-            code, doc, did, value = self.commands.run_apart(value, job.name, args)
+            code, doc, did, value = self.commands.run_isolated(value, job.name, args)
             results.append((code, doc))
             changed = changed or did
         return value, results, changed
@@ -185,7 +190,7 @@
         }
         got: dict = {}
         wait = set(tasks)
-        end = loop.time() + self.seconds
+        end = loop.time() + self.timeout_s
         while wait and not enough(got) and loop.time() < end:
             done, wait = await asyncio.wait(wait, timeout=end - loop.time(), return_when=asyncio.FIRST_COMPLETED)
             for task in done:
@@ -210,7 +215,7 @@
             return
         got[vid] = answer
         if not answer.get("ok"):
-            self.top = max(self.top, answer["promised"][0])
+            self.highest_round = max(self.highest_round, answer["promised"][0])
 
     def _forget_late(self, task: asyncio.Task) -> None:
         self._late.discard(task)
@@ -221,15 +226,15 @@
         base = self._base()
         if base is None:
             return False
-        self.top += 1
-        proposal_number = ProposalNumber(self.top, self.me, self.incarnation)
+        self.highest_round += 1
+        proposal_number = ProposalNumber(self.highest_round, self.me, self.incarnation)
         heard, group = _Heard(), base
         for _ in range(GROUP_STEPS):
             targets = {k: v for k, v in members(group).items() if k not in heard.answers}
             got = await self._poll(
                 targets,
                 "part.prepare",
-                {"ballot": proposal_number.wire()},
+                {"ballot": proposal_number.to_wire()},
                 lambda g: covers(set(g) | set(heard.answers), group),
             )
             if any(not a["ok"] for a in got.values()):
@@ -245,16 +250,16 @@
         return False
 
     def _take_lead(self, proposal_number: ProposalNumber, state: dict) -> bool:
-        if state["stamp"] < self._least():
+        if state["stamp"] < self._chosen_version():
             self.counters.add("part.older_than_chosen")  # these voters were left behind by a change of the group
             return False
-        self.lead, self.state, self.settled = proposal_number, state, False
+        self.prepared_number, self.state, self.is_committed = proposal_number, state, False
         self.counters.add("part.lead")
         return True
 
     async def _accept(self, state: dict, must=()) -> bool:
         """Have a state accepted by both groups that count, and by each of `must`."""
-        before, proposal_number = self.state, self.lead
+        before, proposal_number = self.state, self.prepared_number
 
         def chosen(ids) -> bool:
             return covers(ids, state) and covers(ids, before) and ids >= set(must)
@@ -262,23 +267,26 @@
         got = await self._poll(
             members(state) | members(before),
             "part.accept",
-            {"ballot": proposal_number.wire(), "state": state},
+            {"ballot": proposal_number.to_wire(), "state": state},
             lambda g: chosen(set(g)),
         )
         if chosen({k for k, a in got.items() if a["ok"]}):
-            self.state, self.settled = state, True
+            self.state, self.is_committed = state, True
             self._publish(self.shard, state)
             return True
-        self.lead, self.settled = None, False
+        self.prepared_number, self.is_committed = None, False
         self.counters.add("part.accept_failed")
         return False
 
     async def _confirm(self) -> bool:
         """Whether this ballot still is the highest that a majority has promised."""
         got = await self._poll(
-            members(self.state), "part.confirm", {"ballot": self.lead.wire()}, lambda g: covers(set(g), self.state)
+            members(self.state),
+            "part.confirm",
+            {"ballot": self.prepared_number.to_wire()},
+            lambda g: covers(set(g), self.state),
         )
         if covers({k for k, a in got.items() if a["ok"]}, self.state):
             return True
-        self.lead, self.settled = None, False
+        self.prepared_number, self.is_committed = None, False
         return False
--- a/archhatch/control/admin_api.py
+++ b/archhatch/control/admin_api.py
@@ -8,7 +8,7 @@
 from ..membership import shard_of
 from ..runtime import error_result, json_result
 from ..singleton_roles.admin import SingletonRoleAdmin
-from ..rpc import Refusal
+from ..rpc import CallRefusedError
 from .api_requests import (
     InvalidRequestError,
     HeartbeatRequest,
@@ -66,7 +66,7 @@
             return error_result(UNREACHED, after_s=node.quiet_s)
         try:
             return await self.calls[type(command)](command)
-        except Refusal as e:
+        except CallRefusedError as e:
             return error_result(e.code, after_s=node.quiet_s if e.code >= UNCLEAR else None)
 
     # -- replicas
@@ -103,7 +103,7 @@
         return json_result(1000, {})
 
     async def _spread(self, entry: dict) -> None:
-        """Tell all control nodes at once; Refusal unless a majority of the group heard."""
+        """Tell all control nodes at once; CallRefusedError unless a majority of the group heard."""
         node = self.node
         voters = node.registers.group(PLAN)["voters"]
         doc = {"roll": [{**{k: v for k, v in entry.items() if k != "silent"}, "age": 0.0}]}
@@ -116,7 +116,7 @@
             if majority(heard, voters):
                 return
         if not majority(heard, voters):
-            raise Refusal(UNREACHED)
+            raise CallRefusedError(UNREACHED)
 
     # -- operators and trainers
 
@@ -135,7 +135,7 @@
     def _service_of(self, model: str) -> str:
         plan = (self.node.registers.known.get(PLAN) or {"val": {}})["val"].get("plan")
         if plan is None:
-            raise Refusal(NO_PLAN)  # the register that holds the model's versions is not known yet
+            raise CallRefusedError(NO_PLAN)  # the register that holds the model's versions is not known yet
         for service in plan.get("ServiceTable", []):
             for row in (service.get("Engine") or {}).get("ModelList") or []:
                 if row.get("Name") == model:
--- a/archhatch/control/agreement.py
+++ b/archhatch/control/agreement.py
@@ -6,9 +6,9 @@
 
 from ..consensus import Acceptor, Proposer, UnclearResultError, members
 from ..membership import rank
-from ..rpc import CallError, Refusal
+from ..rpc import CallError, CallRefusedError
 from ..wal import LogError
-from ..consensus.reconfiguration import GroupSize, Patience, Sight, wanted_group
+from ..consensus.reconfiguration import GroupSize, UnreachableTimeouts, GroupView, desired_group
 from .registers import SHARDS, PLAN, commands
 
 UNREACHED = 3003
@@ -33,7 +33,7 @@
         self.proposers: dict[str, Proposer] = {}
         self.founders: dict | None = None
         self.size = GroupSize.for_losses(settings.tolerate)
-        self.patience = Patience(settings.seconds("ContactMs", 0.5), settings.seconds("ContactMs", 2))
+        self.patience = UnreachableTimeouts(settings.seconds("ContactMs", 0.5), settings.seconds("ContactMs", 2))
         self._rewritten = 0
         self._open_since: dict[str, float] = {}  # register -> since when a newer version than the one held is known of
 
@@ -63,7 +63,7 @@
                 self.publish,
                 node.counters,
                 timeout_s=node.settings.seconds("ContactMs", 0.25),
-                least=lambda shard=shard: self.version(shard),
+                chosen_version=lambda shard=shard: self.version(shard),
             )
 
     def identity(self) -> bytes:
@@ -137,7 +137,7 @@
     def publish(self, shard: str, state: dict) -> None:
         """A state was chosen here: keep it, and tell the others."""
         if self.learn(shard, state):
-            self.node.peers.spread_commit(shard, state["stamp"], self.proposers[shard].lead)
+            self.node.peers.spread_commit(shard, state["stamp"], self.proposers[shard].prepared_number)
 
     def learn(self, shard: str, state: dict) -> bool:
         """A state is known to be chosen; True if it is news."""
@@ -178,14 +178,14 @@
         return self.owners(shard)[:1] == [self.node.id]
 
     async def run_here(self, shard: str, name: str, args: dict, within: float):
-        """Run a command with this node's own proposer: (code, document). Refusal 3003 if that stays unclear."""
+        """Run a command with this node's own proposer: (code, document). Raises 3003 if that stays unclear."""
         try:
-            return await self.proposers[shard].do(name, args, within)
+            return await self.proposers[shard].execute(name, args, within)
         except UnclearResultError:
-            raise Refusal(UNREACHED) from None
+            raise CallRefusedError(UNREACHED) from None
 
     async def run(self, shard: str, name: str, args: dict):
-        """Run a command where the register's owner is: (code, document). Refusal 3003 if the outcome is unclear."""
+        """Run a command where the register's owner is: (code, document). Raises 3003 if the outcome is unclear."""
         node = self.node
         within = node.settings.seconds("ContactMs", 0.4)
         for owner in self.owners(shard)[:2] or [node.id]:
@@ -201,7 +201,7 @@
             if code == 1000:
                 return out["code"], out["doc"]
             node.counters.add(f"part.owner_refused.{code}")  # another node stands there, or it reaches no majority
-        raise Refusal(UNREACHED)
+        raise CallRefusedError(UNREACHED)
 
     # -- groups
 
@@ -225,11 +225,11 @@
         proposer, base = self.proposers[shard], self.base(shard)
         # a group is changed from the one that counts: what is open is settled first
         want = self._wanted(self.group(shard)) if settled and shard not in self.behind() else None
-        open_end = proposer.lead is not None and not proposer.settled
+        open_end = proposer.prepared_number is not None and not proposer.is_committed
         if shard not in self.known or shard in self.behind() or base["prev"] or open_end or want:
             if want:
                 self.node.log.info("part {}: the group becomes {}", shard, sorted(want))
-            await proposer.regroup(want or {})
+            await proposer.reconfigure(want or {})
 
     def _wanted(self, base: dict) -> dict | None:
         node, now, voters = self.node, self.node.clock.now(), base["voters"]
@@ -239,8 +239,8 @@
             spares[node.id] = node.address
         silent = {v: max(self._silent(v, now), node.peers.disk_fails_for(v)) for v in voters}
         zones = {i: c["zone"] for i, c in cards.items()} | {node.id: node.settings.zone}
-        sight = Sight(voters, spares, silent, node.peers.leaving & voters.keys(), zones)
-        return wanted_group(sight, self.size, self.patience, node.quiet_s)
+        sight = GroupView(voters, spares, silent, node.peers.leaving & voters.keys(), zones)
+        return desired_group(sight, self.size, self.patience, node.quiet_s)
 
     def _silent(self, voter: str, now: float) -> float:
         node = self.node
@@ -252,4 +252,4 @@
         states = [s for s in map(self.group, SHARDS) if s is not None]
         voting = [s for s in states if node.id in members(s)]
         spares = [i for i in node.cores.cards if node.available(i) and any(i not in s["voters"] for s in voting)]
-        return any(spares or len(s["voters"]) > self.size.least for s in voting)
+        return any(spares or len(s["voters"]) > self.size.minimum for s in voting)
--- a/archhatch/control/feed.py
+++ b/archhatch/control/feed.py
@@ -6,7 +6,7 @@
 import orjson
 
 from ..runtime import encode_kept
-from ..rpc import Refusal
+from ..rpc import CallRefusedError
 from .history import RegisterHistory
 from .registers import feed_view
 
@@ -26,7 +26,7 @@
         self._roll_bytes: dict = {}
 
     async def answer(self, doc: dict) -> bytes:
-        """Answer a node, at once or when there is news. Refusal 3003 while this node may not serve: the asker is to go
+        """Answer a node, at once or when there is news. Raises 3003 while this node may not serve: the asker is to go
         to another one."""
         node, now = self.node, self.node.clock.now()
         if doc["who"]["klass"] == "store":
@@ -36,7 +36,7 @@
         end = now + doc["hold"]
         while True:
             if node.leaving or not node.check_serving():
-                raise Refusal(UNREACHED)
+                raise CallRefusedError(UNREACHED)
             turn = node.state_board.turn("news")
             left = end - node.clock.now()
             news = self._news(doc, left <= 0)
--- a/archhatch/control/handlers.py
+++ b/archhatch/control/handlers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..membership import shard_of
-from ..rpc import Handlers, Refusal
+from ..rpc import Handlers, CallRefusedError
 from .registers import SERVICE_SHARDS
 
 UNREACHED = 3003
@@ -53,13 +53,13 @@
     @handlers.on("do")
     async def _route(doc, body):
         if not node.check_serving():
-            raise Refusal(UNREACHED)
+            raise CallRefusedError(UNREACHED)
         shard = doc["part"]
         if shard.startswith(ANY_SERVICE):
             shard = shard_of(shard.removeprefix(ANY_SERVICE), SERVICE_SHARDS)
         code, out = await node.registers.run(shard, doc["name"], doc["args"])
         if code != 1000:
-            raise Refusal(code, out)
+            raise CallRefusedError(code, out)
         return out
 
 
--- a/archhatch/control/node.py
+++ b/archhatch/control/node.py
@@ -12,7 +12,7 @@
 from ..membership.agreed_time import AgreedTime
 from ..evacuation.controller import EvacuationController
 from ..runtime import StateBoard, Clock, Counters, TaskGroup
-from ..rpc import CallError, Refusal, TcpNetwork
+from ..rpc import CallError, CallRefusedError, TcpNetwork
 from ..wal import WriteAheadLog
 from .admin_api import AdminApi
 from .agreement import Registers
@@ -160,7 +160,7 @@
 
     def disk_takes(self) -> bool:
         """Whether this node's log takes records: the last write went through, and none has waited for long."""
-        return self.wal.healthy and self.wal.oldest_write_age(self.clock.now()) < self.quiet_s
+        return self.wal.healthy and self.wal.oldest_write_age_s(self.clock.now()) < self.quiet_s
 
     def has_majority_contact(self) -> bool:
         """Whether a majority of the configuration's group answered this node within the bound."""
@@ -185,7 +185,7 @@
             "in_touch": self.has_majority_contact(),
             "serving": self.check_serving(),
             "voters": len(voters),
-            "least_voters": self.registers.size.least,
+            "least_voters": self.registers.size.minimum,
             "up": sum(1 for v in voters if v == self.id or self.contact.proven(v, now)),
             "damaged": self.wal.damaged,
             "stamps": self.registers.versions(),
@@ -211,14 +211,14 @@
         return await self.call(address, verb, doc)
 
     async def run_command(self, shard: str, name: str, args: dict):
-        """Run a command on a register: (code, document). Refusal 3003 if the outcome is unclear."""
+        """Run a command on a register: (code, document). CallRefusedError 3003 if the outcome is unclear."""
         return await self.registers.run(shard, name, args)
 
     async def try_command(self, shard: str, name: str, args: dict):
         """Run a command of a duty, which comes round again if no majority answers now: (code, document)."""
         try:
             return await self.registers.run(shard, name, args)
-        except Refusal:
+        except CallRefusedError:
             self.counters.add("duty.put_off")
             return 3003, None
 
--- a/archhatch/jobs/record_store.py
+++ b/archhatch/jobs/record_store.py
@@ -183,7 +183,7 @@
         """Whether a lot of so many bytes leaves the reserve, and room for a rewrite of all that is kept."""
         if not self.wal.limit_bytes:
             return True
-        return self.wal.room() - more >= self.wal.limit_bytes * RESERVE + self.size() + more
+        return self.wal.free_bytes() - more >= self.wal.limit_bytes * RESERVE + self.size() + more
 
     def wants_rewrite(self) -> bool:
         """Whether the log is much longer than what it must keep."""
--- a/archhatch/rpc/__init__.py
+++ b/archhatch/rpc/__init__.py
@@ -4,7 +4,7 @@
 from .messages import Envelope
 from .network import Network, TcpNetwork
 from .pending import PendingCalls
-from .server import Handlers, Refusal, Server, is_misdirected
+from .server import Handlers, CallRefusedError, Server, is_misdirected
 
 __all__ = [
     "CallError",
@@ -14,7 +14,7 @@
     "Handlers",
     "Network",
     "PendingCalls",
-    "Refusal",
+    "CallRefusedError",
     "Server",
     "TcpNetwork",
     "is_misdirected",
--- a/archhatch/rpc/connection.py
+++ b/archhatch/rpc/connection.py
@@ -37,7 +37,7 @@
         async with self._dialling:
             if self._channel is not None and self._channel.open:
                 return self._channel
-            self.hang_up()
+            self.disconnect()
             host, port = self.address.rsplit(":", 1)
             try:
                 reader, writer = await asyncio.wait_for(
@@ -49,7 +49,7 @@
             self._channel = Channel(reader, writer, self.counters)
             return self._channel
 
-    def hang_up(self) -> None:
+    def disconnect(self) -> None:
         """End the connection; whoever waits on it is told so. The next call dials again."""
         channel, self._channel = self._channel, None
         if channel is not None:
@@ -85,7 +85,7 @@
         except TimeoutError as e:
             long_enough = timeout_s >= self.idle_s * 0.2 and loop.time() - began >= min(timeout_s, self.idle_s) * 0.9
             if long_enough and channel.heard < began and self._channel is channel:
-                self.hang_up()
+                self.disconnect()
             raise CallError(f"{self.address}: {verb}: no answer in {timeout_s}s", sent=True) from e
 
     def _document(self, verb: str, answer: Envelope) -> object:
@@ -118,4 +118,4 @@
     def end(self) -> None:
         """Close all of them."""
         for connection in self._all.values():
-            connection.hang_up()
+            connection.disconnect()
--- a/archhatch/rpc/server.py
+++ b/archhatch/rpc/server.py
@@ -25,12 +25,12 @@
     return code == NOT_THIS_NODE and isinstance(doc, dict) and MEANT in doc
 
 
-class Refusal(Exception):
+class CallRefusedError(Exception):
     """Raised by a handler to answer with a result code other than 'done'."""
 
     def __init__(self, code: int, doc: object = None):
         super().__init__(f"{code}")
-        self.code, self.doc = code, doc
+        self.code, self.document = code, doc
 
 
 class Handlers:
@@ -143,8 +143,8 @@
             function = self._handler(call)
             out = await function(orjson.loads(call.head) if call.head else None, call.body)
             return (OK, *out) if isinstance(out, tuple) else (OK, out, b"")
-        except Refusal as e:
-            return e.code, e.doc, b""
+        except CallRefusedError as e:
+            return e.code, e.document, b""
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as e:
             self.counters.add("rpc.bad_call")
             self.log.opt(exception=e).warning("call {} could not be read", call.verb)
@@ -155,13 +155,13 @@
             return FAULT, repr(e), b""
 
     def _handler(self, call: Envelope):
-        """The handler of a call; Refusal if the call means another node, or none such exists."""
+        """The handler of a call; CallRefusedError if the call means another node, or none such exists."""
         if call.to and not self._is_me(call.to):
             self.counters.add("rpc.other_node")
-            raise Refusal(NOT_THIS_NODE, {MEANT: call.to})
+            raise CallRefusedError(NOT_THIS_NODE, {MEANT: call.to})
         function = self.handlers.table.get(call.verb)
         if function is None:
-            raise Refusal(NO_SUCH_CALL)
+            raise CallRefusedError(NO_SUCH_CALL)
         return function
 
     def _is_me(self, node: str) -> bool:
--- a/archhatch/share_group/acknowledgements.py
+++ b/archhatch/share_group/acknowledgements.py
@@ -7,7 +7,7 @@
 import orjson
 
 from ..jobs import DeposedError
-from ..rpc import Refusal
+from ..rpc import CallRefusedError
 from .led_partitions import LedPartitions
 from .window import InvalidTransitionError, ShareEntry, EntryState, SharePartition
 
@@ -49,7 +49,7 @@
             await run.leadership.list_result(e.batch_job, e.item.iid, row["doc"])
         except DeposedError:
             run.leadership.over()
-            raise Refusal(3005) from None
+            raise CallRefusedError(3005) from None
         finally:
             e.settling = False
         if e.item.iid not in e.batch_job.done:  # the reign or the lot ended meanwhile: not settled
--- a/archhatch/share_group/leader.py
+++ b/archhatch/share_group/leader.py
@@ -8,7 +8,7 @@
 import orjson
 
 from ..jobs import DeposedError
-from ..rpc import Refusal
+from ..rpc import CallRefusedError
 from .window_journal import WindowJournal
 from .led_partitions import LedPartitions, WorkerState
 from .replica_slots import ReplicaSlots, lane_of
@@ -202,10 +202,10 @@
         self.sync_if_new(doc["run"])
         run = self.runs.get(doc["run"])
         if run is None or run.leadership.state != "holding" or self.store.leaving:
-            raise Refusal(3005)
+            raise CallRefusedError(3005)
         if run.leadership.term != doc["epoch"]:
             self.store.counters.add("share.other_epoch")
-            raise Refusal(3007, run.leadership.term)
+            raise CallRefusedError(3007, run.leadership.term)
         return run
 
     def sync_if_new(self, name: str) -> None:
@@ -227,7 +227,7 @@
         seat = run.seats.get(doc["worker"])
         if seat is None or seat.incarnation != doc["life"]:
             if doc["holding"] is None:  # it was given up, or this leader is new: first it says what it holds
-                raise Refusal(3007, run.leadership.term)
+                raise CallRefusedError(3007, run.leadership.term)
             if seat is not None:
                 self._free(run, seat.worker, "worker_gone")
             seat = run.seats[doc["worker"]] = WorkerState(doc["worker"], doc["life"], doc["zone"])
@@ -245,7 +245,7 @@
         while True:
             turn = store.state_board.turn(key)
             if run.leadership.state != "holding" or self.runs.get(doc["run"]) is not run:
-                raise Refusal(3005)
+                raise CallRefusedError(3005)
             now = store.clock.now()
             if seat.poll != mine or run.seats.get(seat.worker) is not seat:
                 return {"old": True, "kept": kept, "drop": [], "batch": None}, b"[]"
--- a/archhatch/share_group/worker.py
+++ b/archhatch/share_group/worker.py
@@ -9,7 +9,7 @@
 
 from ..rollout_controller.load_limit import LoadLimit
 from ..rollout_controller.scoring import Scoring
-from ..rpc import CallError, Refusal
+from ..rpc import CallError, CallRefusedError
 from .item_stream import ItemStream
 from .acquired_entry import AcquiredEntry
 
@@ -82,8 +82,8 @@
         if sid == self.store.id:
             try:
                 out = await self.store.verbs.table[verb](doc, body)
-            except Refusal as e:
-                return e.code, e.doc, b""
+            except CallRefusedError as e:
+                return e.code, e.document, b""
             doc, raw = out if isinstance(out, tuple) else (out, b"")
             return 1000, doc, raw
         return await self.store.connections.to(address).call(verb, doc, body, timeout_s=timeout_s)
--- a/archhatch/simulation/network.py
+++ b/archhatch/simulation/network.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from ..rpc import CallError, Refusal
+from ..rpc import CallError, CallRefusedError
 from .loop import Life, VirtualLoop
 
 DONE, MALFORMED, NO_MACHINE, NO_CALL, FAULT = 1000, 2001, 2008, 2009, 5001
@@ -220,14 +220,14 @@
         try:
             handler = self._handlers.table.get(verb)
             if handler is None:
-                raise Refusal(NO_CALL)
+                raise CallRefusedError(NO_CALL)
             if to and not self._is_me(to):
-                raise Refusal(NO_MACHINE)
+                raise CallRefusedError(NO_MACHINE)
             out = await handler(orjson.loads(head) if head else None, body)
             doc, out_body = out if isinstance(out, tuple) else (out, b"")
             answer = _Answer(DONE, doc if isinstance(doc, bytes) else orjson.dumps(doc), out_body)
-        except Refusal as refusal:
-            answer = _Answer(refusal.code, orjson.dumps(refusal.doc))
+        except CallRefusedError as refusal:
+            answer = _Answer(refusal.code, orjson.dumps(refusal.document))
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as fault:
             answer = _Answer(MALFORMED, orjson.dumps(repr(fault)))
             self._place.network.loop.faults.append(fault)
--- a/archhatch/simulation/planted_faults.py
+++ b/archhatch/simulation/planted_faults.py
@@ -59,20 +59,20 @@
 @plant("memory-before-disk", "a promise counts only once its sync has returned")
 def _memory_before_disk():
     async def prepare(self, wanted):
-        wanted = proposal_number.ProposalNumber.read(wanted)
+        wanted = proposal_number.ProposalNumber.from_wire(wanted)
         if wanted < self.promised:
-            return {"ok": False, "promised": self.promised.wire()}
+            return {"ok": False, "promised": self.promised.to_wire()}
         if wanted > self.promised:
             self.promised = wanted
-            await self.wal.append(orjson.dumps({"p": self.shard, "b": wanted.wire()}))
-        return {"ok": True, "ballot": self.proposal_number.wire(), "state": self.state}
+            await self.wal.append(orjson.dumps({"p": self.shard, "b": wanted.to_wire()}))
+        return {"ok": True, "ballot": self.proposal_number.to_wire(), "state": self.state}
 
     async def accept(self, wanted, state):
-        wanted = proposal_number.ProposalNumber.read(wanted)
+        wanted = proposal_number.ProposalNumber.from_wire(wanted)
         if wanted < self.promised:
-            return {"ok": False, "promised": self.promised.wire()}
+            return {"ok": False, "promised": self.promised.to_wire()}
         if wanted == self.proposal_number and state["stamp"] <= self.state["stamp"]:
-            return {"ok": state["stamp"] == self.state["stamp"], "promised": self.promised.wire()}
+            return {"ok": state["stamp"] == self.state["stamp"], "promised": self.promised.to_wire()}
         self.promised, self.proposal_number, self.state = wanted, wanted, state
         await self.wal.append(self.record())
         return {"ok": True}
@@ -106,7 +106,7 @@
     real = acceptor.Acceptor.accept
 
     async def accept(self, wanted, state):
-        before, self.promised = self.promised, min(self.promised, proposal_number.ProposalNumber.read(wanted))
+        before, self.promised = self.promised, min(self.promised, proposal_number.ProposalNumber.from_wire(wanted))
         out = await real(self, wanted, state)
         self.promised = max(before, self.promised)
         return out
@@ -121,13 +121,13 @@
             return group.majority(ids, state["voters"])
 
         targets = group.members(state) | group.members(self.state)
-        doc = {"ballot": self.lead.wire(), "state": state}
+        doc = {"ballot": self.prepared_number.to_wire(), "state": state}
         got = await self._poll(targets, "part.accept", doc, lambda g: chosen(set(g)))
         if chosen({k for k, a in got.items() if a["ok"]}):
-            self.state, self.settled = state, True
+            self.state, self.is_committed = state, True
             self._publish(self.shard, state)
             return True
-        self.lead, self.settled = None, False
+        self.prepared_number, self.is_committed = None, False
         return False
 
     yield mock.patch.object(proposer.Proposer, "_accept", accept)
@@ -137,7 +137,7 @@
     """Patches away that a proposer does not lead with a state older than one known to be chosen: that hides others."""
 
     def take_lead(self, wanted, state):
-        self.lead, self.state, self.settled = wanted, state, False
+        self.prepared_number, self.state, self.is_committed = wanted, state, False
         return True
 
     return mock.patch.object(proposer.Proposer, "_take_lead", take_lead)
@@ -169,7 +169,7 @@
 
     def take_lead(self, wanted, state):
         out = real(self, wanted, state)
-        self.settled = out
+        self.is_committed = out
         return out
 
     yield mock.patch.object(proposer.Proposer, "_take_lead", take_lead)
--- a/archhatch/simulation/register_node.py
+++ b/archhatch/simulation/register_node.py
@@ -14,7 +14,7 @@
 from ..consensus import Acceptor, Proposer, UnclearResultError
 from ..control.registers import commands
 from ..runtime import CODES, Counters
-from ..rpc import CallError, Handlers, Refusal
+from ..rpc import CallError, Handlers, CallRefusedError
 from ..wal import LogError, WriteAheadLog
 from .loop import VirtualClock
 from .machine import Machine
@@ -81,7 +81,7 @@
             self._publish,
             self.counters,
             timeout_s=ROUND_S,
-            least=self._version,
+            chosen_version=self._version,
         )
         await self._calls.open(self.address)
         await self._entry.open(f"{self.host}:{HTTP_PORT}")
@@ -162,7 +162,7 @@
         async def _do(doc, body):
             code, out = await self._command(doc["name"], doc["args"])
             if code != 1000:
-                raise Refusal(code, out)
+                raise CallRefusedError(code, out)
             return out
 
         return handlers
@@ -177,7 +177,7 @@
                 args = {"doc": orjson.loads(body), "match": int(doc["headers"]["If-Match"])}
             try:
                 code, out = await self._command(_METHODS[doc["method"]], args)
-            except Refusal as refusal:
+            except CallRefusedError as refusal:
                 code, out = refusal.code, None
             return {"status": CODES[code][0], "headers": {}}, orjson.dumps(out)
 
@@ -191,14 +191,14 @@
             return await self._run_here(name, args)
         out = await self._call(base["voters"][first], "run", {"name": name, "args": args}, RUN_S)
         if out is None:
-            raise Refusal(UNREACHED)
+            raise CallRefusedError(UNREACHED)
         return tuple(out)
 
     async def _run_here(self, name: str, args: dict) -> tuple:
         try:
-            return await self.proposer.do(name, args, RUN_S)
+            return await self.proposer.execute(name, args, RUN_S)
         except UnclearResultError:
-            raise Refusal(UNREACHED) from None
+            raise CallRefusedError(UNREACHED) from None
 
     # -- duties
 
@@ -228,7 +228,7 @@
         if base is None or not (self._first(base["voters"], now) == self.id or random.random() < MEDDLING):
             return
         if base["prev"]:
-            await self.proposer.regroup({})
+            await self.proposer.reconfigure({})
             return
         fresh = {i: a for a, i in self._cards.items() if i not in base["voters"] and now - self._heard[a] < FRESH_S}
         if self.id not in base["voters"]:
@@ -237,7 +237,7 @@
             if voter != self.id and fresh and self._lost(voter, address, now):
                 node = next((i for i in fresh if fresh[i] == address), min(fresh))
                 rest = {i: a for i, a in base["voters"].items() if i != voter}
-                await self.proposer.regroup({**rest, node: fresh[node]})
+                await self.proposer.reconfigure({**rest, node: fresh[node]})
                 return
 
     def _first(self, voters: dict, now: float) -> str | None:
--- a/archhatch/singleton_roles/group.py
+++ b/archhatch/singleton_roles/group.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..jobs import active
-from ..consensus.reconfiguration import GroupSize, Patience, Sight, wanted_group
+from ..consensus.reconfiguration import GroupSize, UnreachableTimeouts, GroupView, desired_group
 from ..membership import rank
 
 REPLACE, SHRINK = 0.5, 2.0  # of ContactMs: a voter silent for so long is replaced, or left out
@@ -20,8 +20,10 @@
         self.store = store
         settings = store.settings
         size = GroupSize.for_losses(settings.tolerate)
-        self.size = GroupSize(size.least, size.least)
-        self.patience = Patience(settings.seconds("ContactMs", REPLACE), settings.seconds("ContactMs", SHRINK))
+        self.size = GroupSize(size.minimum, size.minimum)
+        self.patience = UnreachableTimeouts(
+            settings.seconds("ContactMs", REPLACE), settings.seconds("ContactMs", SHRINK)
+        )
         self.started = store.clock.now()
         self._refusing_since: dict[str, float] = {}
 
@@ -33,7 +35,7 @@
             return None
         chosen: list[str] = []
         order = rank(namespace, up)
-        while order and len(chosen) < self.size.least:
+        while order and len(chosen) < self.size.minimum:
             places = [self._place(up[sid]) for sid in chosen]
             best = min(order, key=lambda sid: places.count(self._place(up[sid])))
             order.remove(best)
@@ -52,7 +54,9 @@
         leaving = {sid for sid in voters if self._leaves(sid, members)}
         silent = {sid: self._silent_s(sid, members) for sid in voters}
         zones = {sid: self._place(member) for sid, member in members.items()}
-        return wanted_group(Sight(voters, spares, silent, leaving, zones), self.size, self.patience, self.store.quiet_s)
+        return desired_group(
+            GroupView(voters, spares, silent, leaving, zones), self.size, self.patience, self.store.quiet_s
+        )
 
     def _place(self, member: dict) -> str:
         """What fails together: a region where the loss of regions is borne, else a zone."""
--- a/archhatch/singleton_roles/register_host.py
+++ b/archhatch/singleton_roles/register_host.py
@@ -14,7 +14,7 @@
 
 from ..consensus import Acceptor, Proposer, UnclearResultError, members
 from ..membership import rank
-from ..rpc import CallError, Refusal
+from ..rpc import CallError, CallRefusedError
 from ..wal import LogError, WriteAheadLog
 from .commands import commands, split_key
 from .group import GroupKeeper
@@ -76,7 +76,7 @@
                 self._learn,
                 self.store.counters,
                 timeout_s=self.store.settings.seconds("ContactMs", ROUND),
-                least=lambda name=name: self._least(name),
+                chosen_version=lambda name=name: self._least(name),
             )
 
     async def close(self) -> None:
@@ -97,7 +97,7 @@
             try:
                 return {"me": self.store.id, **await self.store.disk.watch(getattr(acceptor, name)(*args))}
             except LogError:
-                raise Refusal(DISK_REFUSES) from None
+                raise CallRefusedError(DISK_REFUSES) from None
 
         return vote
 
@@ -182,7 +182,7 @@
         if name == "duty.request":
             args = {**args, **self.watch.args(args["key"], self.store.clock.now())}
         try:
-            return await self.proposers[namespace].do(name, args, self.store.settings.seconds("ContactMs", WITHIN))
+            return await self.proposers[namespace].execute(name, args, self.store.settings.seconds("ContactMs", WITHIN))
         except UnclearResultError:
             return UNREACHED, None
 
@@ -191,7 +191,7 @@
         if address == self.store.addr_of({"ip": self.store.settings.ip}):
             try:
                 return await self.store.verbs.table[verb](doc, b"")
-            except Refusal:
+            except CallRefusedError:
                 return None
         return await self._call_addr(address, verb, doc)
 
@@ -246,11 +246,17 @@
         proposer, base = self.proposers[namespace], self.base(namespace)
         settled = self.store.clock.now() - self.keeper.started >= self.store.heartbeat_interval_s * SETTLED_BEATS
         want = self.keeper.wanted(base) if settled and namespace in self.known else None
-        if want or namespace not in self.known or base["prev"] or proposer.lead is None or not proposer.settled:
+        if (
+            want
+            or namespace not in self.known
+            or base["prev"]
+            or proposer.prepared_number is None
+            or not proposer.is_committed
+        ):
             if want:
                 self.store.log.info("ledger {}: the group becomes {}", namespace, sorted(want))
-            await proposer.regroup(want or {})
-            if proposer.settled and proposer.state is not None:
+            await proposer.reconfigure(want or {})
+            if proposer.is_committed and proposer.state is not None:
                 self._learn(namespace, proposer.state)
         await self._publish_group(namespace)
 
--- a/archhatch/store/handlers.py
+++ b/archhatch/store/handlers.py
@@ -4,7 +4,7 @@
 
 from ..jobs import DeposedError
 from ..jobs.record import pack_many, unpack_many
-from ..rpc import Handlers, Refusal
+from ..rpc import Handlers, CallRefusedError
 from ..rollout_controller import LeadershipTerm
 from ..wal import LogError
 
@@ -42,11 +42,11 @@
         async def checked(doc, body):
             if doc["to"] != self.store.id:
                 self.store.counters.add("call.other_life")
-                raise Refusal(2008)
+                raise CallRefusedError(2008)
             try:
                 return await handler(doc, body)
             except LogError:
-                raise Refusal(3010) from None
+                raise CallRefusedError(3010) from None
 
         return checked
 
@@ -66,7 +66,7 @@
 
     async def _append(self, doc, body):
         if not self.store.ready:
-            raise Refusal(3004)
+            raise CallRefusedError(3004)
         return await self.store.disk.watch(self.store.record_store.append(unpack_many(body)))
 
     async def _fetch(self, doc, body):
@@ -88,13 +88,13 @@
     def _reign_of(self, job_id: str) -> LeadershipTerm:
         leaderships = self.store.leaderships.values()
         if any(job_id in leadership.pending for leadership in leaderships if leadership.state == "holding"):
-            raise Refusal(3004)
+            raise CallRefusedError(3004)
         for leadership in leaderships:
             if job_id in leadership.batch_jobs and leadership.state == "holding":
                 return leadership
         if any(leadership.state == "reading" for leadership in leaderships):
-            raise Refusal(3004)
-        raise Refusal(2007)
+            raise CallRefusedError(3004)
+        raise CallRefusedError(2007)
 
     def _signed(self, leadership: LeadershipTerm) -> dict:
         """What an answer says of its giver, so that another's answer is not taken for the holder's."""
@@ -103,32 +103,32 @@
     async def _put(self, doc, body):
         leadership = self.store.leaderships.get(doc["run"])
         if leadership is None or leadership.state != "holding" or self.store.leaving or leadership.term < doc["term"]:
-            raise Refusal(3004 if may_be_taken(self.store, doc["run"], doc["lot"]) else 3005)
+            raise CallRefusedError(3004 if may_be_taken(self.store, doc["run"], doc["lot"]) else 3005)
         if doc["lot"] in leadership.pending:
-            raise Refusal(3004)
+            raise CallRefusedError(3004)
         if doc["lot"] not in leadership.batch_jobs and not self.store.membership.admits(doc["lot"], len(body)):
-            raise Refusal(3004 if may_be_taken(self.store, doc["run"], doc["lot"]) else 3008)
+            raise CallRefusedError(3004 if may_be_taken(self.store, doc["run"], doc["lot"]) else 3008)
         try:
             await leadership.put(doc, body)
         except DeposedError:
             leadership.over()
-            raise Refusal(3004) from None
+            raise CallRefusedError(3004) from None
         return self._signed(leadership)
 
     async def _read(self, doc, body):
         leadership = self._reign_of(doc["lot"])
         page = await leadership.read(doc["lot"], doc["after"], doc["hold"])
         if page is None:
-            raise Refusal(3004)
+            raise CallRefusedError(3004)
         return self._signed(leadership), page
 
     async def _item(self, doc, body):
         leadership = self._reign_of(doc["lot"])
         if not leadership.fresh():
-            raise Refusal(3004)
+            raise CallRefusedError(3004)
         raw = leadership.item(doc["lot"], doc["item"])
         if raw is None:
-            raise Refusal(2007, "item")
+            raise CallRefusedError(2007, "item")
         return self._signed(leadership), raw
 
     async def _end(self, doc, body):
@@ -137,7 +137,7 @@
             await leadership.end(doc["lot"])
         except DeposedError:
             leadership.over()
-            raise Refusal(3004) from None
+            raise CallRefusedError(3004) from None
         return self._signed(leadership)
 
 
--- a/archhatch/store/node.py
+++ b/archhatch/store/node.py
@@ -16,7 +16,7 @@
 from ..membership import ConfigWatcher
 from ..runtime import StateBoard, Clock, Counters, TaskGroup
 from ..singleton_roles.register_host import RoleRegisterHost
-from ..rpc import CallError, ConnectionPool, Handlers, Refusal, Server
+from ..rpc import CallError, ConnectionPool, Handlers, CallRefusedError, Server
 from ..upstream import UpstreamClient, LoadBalancer
 from ..rollout_controller import Engines, WeightOrders, LeadershipTerm
 from ..rollout_controller.leadership_term import fetch_over
@@ -232,7 +232,7 @@
         if sid == self.id:
             try:
                 return await self.verbs.table[verb](doc, b"")
-            except Refusal:
+            except CallRefusedError:
                 return None
         try:
             code, out, _ = await self.connections.to(address).call(verb, doc, timeout_s=self.quiet_s * 1.5)
--- a/archhatch/store/proxy.py
+++ b/archhatch/store/proxy.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..rpc import Refusal
+from ..rpc import CallRefusedError
 from ..upstream import AGAIN
 
 NO_LANE, NOT_SURE, LEAVING, NOTHING_FREE = 2006, 3004, 3005, 3002
@@ -21,15 +21,15 @@
         """Send an idempotent request once. A refusal says that nothing was sent."""
         store, began = self.store, self.store.clock.now()
         if store.leaving:
-            raise Refusal(LEAVING)
+            raise CallRefusedError(LEAVING)
         if store.plan is None:
-            raise Refusal(NOT_SURE)
+            raise CallRefusedError(NOT_SURE)
         route = store.plan.route(doc["host"], doc["target"].split("?", 1)[0])
         if route is None or route.kind != "idempotent" or doc["service"] not in [name for name, _ in route.split]:
-            raise Refusal(NO_LANE)  # its configuration is another one than the edge's
+            raise CallRefusedError(NO_LANE)  # its configuration is another one than the edge's
         line = store.load_balancer.pick(doc["service"], set(doc["tried"]), began, route)
         if line is None:
-            raise Refusal(NOTHING_FREE)
+            raise CallRefusedError(NOTHING_FREE)
         end = began + doc["secs"]
         line.under_way += 1
         store.counters.add("proxy.send")
--- a/archhatch/wal/log.py
+++ b/archhatch/wal/log.py
@@ -104,15 +104,15 @@
         """Whether the last that was tried at the disk went through."""
         return not self._broken and not self._failing
 
-    def last_sync_age(self, now: float) -> float:
+    def last_sync_age_s(self, now: float) -> float:
         """Seconds since a sync went through (or since the log was made)."""
         return max(0.0, now - self._synced_at)
 
-    def oldest_write_age(self, now: float) -> float:
+    def oldest_write_age_s(self, now: float) -> float:
         """Seconds that the oldest unfinished call has waited; 0 if there is none. A stalled disk shows here."""
         return max((now - job.since for job in self._queue.all()), default=0.0)
 
-    def room(self) -> int:
+    def free_bytes(self) -> int:
         """Bytes that the file may still grow by; as good as endless without a limit."""
         return max(0, self.limit_bytes - self.size) if self.limit_bytes else sys.maxsize
 
--- a/benchmarks/thousand_changes.py
+++ b/benchmarks/thousand_changes.py
@@ -83,11 +83,11 @@
         "ServiceTable": [{"Name": "service", "HealthPath": "/health", "MaxConnections": 50}],
         "Limits": {},
     }
-    assert (await proposer.do("plan.put", {"doc": whole, "match": 0}))[0] == 1000
+    assert (await proposer.execute("plan.put", {"doc": whole, "match": 0}))[0] == 1000
     before, began = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss, time.monotonic()
     for number in range(2, changes + 1):
         doc = {"Revision": number, "Upsert": {"RouteTable": [route(number % routes, number)]}}
-        assert (await proposer.do("plan.patch", {"doc": doc, "match": number - 1}))[0] == 1000
+        assert (await proposer.execute("plan.patch", {"doc": doc, "match": number - 1}))[0] == 1000
         for voter in voters.values():
             await voter.tend()
     took = time.monotonic() - began
@@ -101,9 +101,9 @@
     cut.clear()
     behind = voters["c"].acceptor.version
     began = time.monotonic()
-    assert (await proposer.regroup({})) and (await proposer.do("plan.get", {}))[0] == 1000
+    assert (await proposer.reconfigure({})) and (await proposer.execute("plan.get", {}))[0] == 1000
     doc = {"Revision": changes + 1, "Upsert": {"RouteTable": [route(0, 7)]}}
-    assert (await proposer.do("plan.patch", {"doc": doc, "match": changes}))[0] == 1000
+    assert (await proposer.execute("plan.patch", {"doc": doc, "match": changes}))[0] == 1000
     while voters["c"].acceptor.version < proposer.state["stamp"]:
         await asyncio.sleep(0)
     print(f"the voter that was cut off: {behind} -> {voters['c'].acceptor.version} in {time.monotonic() - began:.3f} s")
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -386,9 +386,9 @@
     # another node's promise comes between, under a higher ballot
     assert (await registers.acceptors["plan"].prepare([6, "f-10.0.0.9", "another-life"]))["ok"]
     await take(STEPS[20:30])
-    assert await registers.proposers["plan"].regroup({me: address, second: second_address})
+    assert await registers.proposers["plan"].reconfigure({me: address, second: second_address})
     await take(STEPS[30:40])
-    assert await registers.proposers["plan"].regroup({me: address})
+    assert await registers.proposers["plan"].reconfigure({me: address})
     await take(STEPS[40:])
     assert (await registers.acceptors["p2"].prepare([3, "f-10.0.0.9", "another-life"]))[
         "ok"
--- a/tests/compatibility/test_wire_compatibility.py
+++ b/tests/compatibility/test_wire_compatibility.py
@@ -15,7 +15,7 @@
 from archhatch.control.registers import commands as control_commands
 from archhatch.runtime import Counters
 from archhatch.singleton_roles.commands import commands as ledger_commands
-from archhatch.rpc import ConnectionPool, Envelope, Handlers, Refusal, TcpNetwork
+from archhatch.rpc import ConnectionPool, Envelope, Handlers, CallRefusedError, TcpNetwork
 from archhatch.rpc.framing import pack, read_frame
 from archhatch.store.node import StoreNode
 
@@ -131,7 +131,7 @@
 
 
 def refuse(*args):
-    raise Refusal(*args)
+    raise CallRefusedError(*args)
 
 
 def fail():
--- a/tests/consensus/test_consensus.py
+++ b/tests/consensus/test_consensus.py
@@ -99,7 +99,7 @@
         self.add(new, address, base=False)
 
     async def do(self, n, name, **args):
-        return await self.nodes[n]["owner"].do(name, args)
+        return await self.nodes[n]["owner"].execute(name, args)
 
 
 @pytest.mark.parametrize(
@@ -170,11 +170,11 @@
     async def go():
         net = Net("abc")
         await net.do("a", "put", v=1)
-        lead = net.nodes["a"]["owner"].lead
+        lead = net.nodes["a"]["owner"].prepared_number
         net.cut = {"a"}
         await net.do("b", "put", v=2, match=1)
         net.cut = set()
-        assert net.nodes["a"]["owner"].lead == lead
+        assert net.nodes["a"]["owner"].prepared_number == lead
         assert await net.do("a", "get") == (1000, 2)
         assert (await net.do("a", "put", v=9, match=1))[0] == 2011
 
@@ -222,7 +222,7 @@
         net = Net("abc")
         await net.do("a", "put", v=1)
         net.wipe("a", "n")
-        assert await net.nodes["b"]["owner"].regroup({"b": "b", "c": "c", "n": "a"})
+        assert await net.nodes["b"]["owner"].reconfigure({"b": "b", "c": "c", "n": "a"})
         net.cut = {"c"}
         assert await net.do("b", "put", v=2, match=1) == (1000, 2)
         assert net.nodes["n"]["keeper"].state["val"] == {"v": 2}
@@ -240,7 +240,7 @@
         await net.do("a", "put", v=1)
         net.cut = {"c"}
         net.add("d", base=False)
-        assert await net.nodes["a"]["owner"].regroup({"a": "a", "b": "b", "d": "d"})
+        assert await net.nodes["a"]["owner"].reconfigure({"a": "a", "b": "b", "d": "d"})
         assert await net.do("a", "put", v=2, match=1) == (1000, 2)
         net.cut = set()
         net.nodes["c"]["known"] = None
@@ -263,7 +263,7 @@
         }
         assert await own._accept(state)
         net.cut = {"a"}
-        assert await net.nodes["b"]["owner"].regroup({})
+        assert await net.nodes["b"]["owner"].reconfigure({})
         assert net.nodes["b"]["owner"].state["prev"] is None
         assert await net.do("b", "put", v=5, match=1) == (1000, 5)
 
@@ -345,7 +345,7 @@
         net = Net(["a", "b", "c"])
         net.cut = {"c"}
         own = net.nodes["a"]["owner"]
-        assert (await own.do("put", {"v": 1}))[0] == 1000
+        assert (await own.execute("put", {"v": 1}))[0] == 1000
         ask = own._ask
 
         async def turned(address, verb, doc):
@@ -354,10 +354,10 @@
 
         own._ask = turned
         with pytest.raises(UnclearResultError):
-            await own.do("put", {"v": 2})
+            await own.execute("put", {"v": 2})
         assert count is None or net.nodes["a"]["ctr"].all[count] >= 1
         own._ask = ask
-        assert await own.do("put", {"v": 3}) == (1000, 3)
+        assert await own.execute("put", {"v": 3}) == (1000, 3)
 
     run(go())
 
--- a/tests/consensus/test_proposal_number.py
+++ b/tests/consensus/test_proposal_number.py
@@ -86,15 +86,15 @@
         group.disks["a"].stalled = True
         group.cut = {("a", "c", "part.accept")}
         with pytest.raises(UnclearResultError):
-            await group.proposer("a", first).do("set", {"x": "X", "match": 0})  # accepted by b alone
+            await group.proposer("a", first).execute("set", {"x": "X", "match": 0})  # accepted by b alone
         group.disks["a"] = Disk()  # what was not synced is gone
         group.start("a")
         group.cut = {("a", "b", None)}
         again = group.proposer("a", second)
-        code, value = await again.do("set", {"x": "Y", "match": 0})
-        assert (code, value) == (1000, "Y") and again.lead.incarnation == second
+        code, value = await again.execute("set", {"x": "Y", "match": 0})
+        assert (code, value) == (1000, "Y") and again.prepared_number.incarnation == second
         group.cut = {("b", "c", None)}  # one node is lost
-        assert await group.proposer("b", "3").do("get", {}) == (1000, "Y")
+        assert await group.proposer("b", "3").execute("get", {}) == (1000, "Y")
 
     run(go())
 
@@ -114,7 +114,7 @@
         acceptor = Acceptor("plan", MemBook(), Counters())
         assert (await acceptor.prepare(promised))["ok"]
         assert (await acceptor.prepare(asked))["ok"] is ok
-        assert acceptor.promised == max(ProposalNumber.read(promised), ProposalNumber.read(asked))
+        assert acceptor.promised == max(ProposalNumber.from_wire(promised), ProposalNumber.from_wire(asked))
 
     run(go())
 
--- a/tests/control/test_config_commands.py
+++ b/tests/control/test_config_commands.py
@@ -109,7 +109,7 @@
         proposer, acceptor = lone_proposer()
         good = {"doc": copy.deepcopy(GOOD), "match": 0}
         outs = await asyncio.gather(
-            proposer.do("plan.put", bad), proposer.do("plan.put", good), proposer.do("nothing.such", {})
+            proposer.execute("plan.put", bad), proposer.execute("plan.put", good), proposer.execute("nothing.such", {})
         )
         assert [code for code, _ in outs] == [2001, 1000, 2009]
         assert acceptor.state["val"]["plan"] == GOOD
@@ -123,14 +123,14 @@
         proposer, acceptor = lone_proposer()
         order = {"doc": copy.deepcopy(GOOD), "match": 0}
         within = -1.0 if end == "expired" else 60.0
-        task = asyncio.ensure_future(proposer.do("plan.put", order, within))
+        task = asyncio.ensure_future(proposer.execute("plan.put", order, within))
         await asyncio.sleep(0)
         if end == "caller gone":
             task.cancel()
         assert isinstance(
             (await asyncio.gather(task, return_exceptions=True))[0], (UnclearResultError, asyncio.CancelledError)
         )
-        assert (await proposer.do("plan.get", {}))[0] == 3001 and "plan" not in acceptor.state["val"]
+        assert (await proposer.execute("plan.get", {}))[0] == 3001 and "plan" not in acceptor.state["val"]
 
     run(go())
 
@@ -138,8 +138,8 @@
 def test_a_caller_that_is_cancelled_takes_no_other_command_with_it(run):
     async def go():
         proposer, acceptor = lone_proposer()
-        first = asyncio.ensure_future(proposer.do("plan.get", {}))
-        second = asyncio.ensure_future(proposer.do("plan.put", {"doc": copy.deepcopy(GOOD), "match": 0}))
+        first = asyncio.ensure_future(proposer.execute("plan.get", {}))
+        second = asyncio.ensure_future(proposer.execute("plan.put", {"doc": copy.deepcopy(GOOD), "match": 0}))
         await asyncio.sleep(0)
         first.cancel()
         assert (await second)[0] == 1000 and acceptor.state["val"]["plan"] == GOOD
--- a/tests/control/test_control_safety.py
+++ b/tests/control/test_control_safety.py
@@ -10,7 +10,7 @@
 from archhatch.consensus import Acceptor
 from archhatch.control.agreement import Registers
 from archhatch.control.contact import MajorityContact, ServingGate
-from archhatch.consensus.reconfiguration import GroupSize, Patience, Sight, wanted_group
+from archhatch.consensus.reconfiguration import GroupSize, UnreachableTimeouts, GroupView, desired_group
 from archhatch.control.store_membership import StoreMembershipController
 from archhatch.membership import PeerSet
 from archhatch.runtime import Counters
@@ -65,11 +65,11 @@
     assert [gate.look(reached, set(behind), at) for at, reached, behind in seen] == serves
 
 
-SIZE3, SIZE5, WAIT = GroupSize.for_losses(1), GroupSize.for_losses(2), Patience(1.5, 6.0)
+SIZE3, SIZE5, WAIT = GroupSize.for_losses(1), GroupSize.for_losses(2), UnreachableTimeouts(1.5, 6.0)
 
 
 def sight(voters, spares="", leaving="", **silent):
-    return Sight(
+    return GroupView(
         {v: f"{v}:1" for v in voters},
         {s: f"{s}:1" for s in spares},
         {v: silent.get(v, 0.0) for v in voters},
@@ -101,24 +101,24 @@
 
 @pytest.mark.parametrize("why, seen, size, group", GROUPS, ids=[g[0] for g in GROUPS])
 def test_the_group_that_should_be(why, seen, size, group):
-    want = wanted_group(seen, size, WAIT, BOUND)
+    want = desired_group(seen, size, WAIT, BOUND)
     assert want == (None if group is None else {v: f"{v}:1" for v in group})
 
 
 @pytest.mark.parametrize("silent, want", [(0.5, None), (0.75, {"a": "a:1", "b": "b:1", "new": "c:1"})])
 def test_a_wiped_voter_gives_its_place_to_the_node_at_its_address(silent, want):
-    seen = Sight(VOTERS, {"new": "c:1", "other": "d:1"}, {"a": 0.0, "b": 0.0, "c": silent})
-    assert wanted_group(seen, SIZE3, WAIT, BOUND) == want
+    seen = GroupView(VOTERS, {"new": "c:1", "other": "d:1"}, {"a": 0.0, "b": 0.0, "c": silent})
+    assert desired_group(seen, SIZE3, WAIT, BOUND) == want
 
 
 def test_a_spare_of_the_emptiest_zone_is_taken():
-    seen = Sight(
+    seen = GroupView(
         VOTERS,
         {"d": "d:1", "e": "e:1"},
         {"a": 0.0, "b": 0.0, "c": 2.0},
         zones={"a": "x", "b": "x", "c": "y", "d": "x", "e": "y"},
     )
-    assert set(wanted_group(seen, SIZE3, WAIT, BOUND)) == {"a", "b", "e"}
+    assert set(desired_group(seen, SIZE3, WAIT, BOUND)) == {"a", "b", "e"}
 
 
 class FailingBook(MemBook):
--- a/tests/data_plane/test_store_proxies.py
+++ b/tests/data_plane/test_store_proxies.py
@@ -9,7 +9,7 @@
 
 from archhatch.routing import RoutingTable
 from archhatch.runtime import Counters
-from archhatch.rpc import CallError, Refusal
+from archhatch.rpc import CallError, CallRefusedError
 from archhatch.upstream import Answer, LoadBalancer, Ran
 from archhatch.store.proxy import RequestProxy
 from archhatch.data_plane.store_proxies import HALF_S, RARE, Proxy, StoreProxies
@@ -226,7 +226,7 @@
     async def go():
         proxy, sent = store(**made)
         if refusal is not None:
-            with pytest.raises(Refusal) as e:
+            with pytest.raises(CallRefusedError) as e:
                 await proxy.send({**ASK, **change}, b"body")
             assert e.value.code == refusal and not sent
             return
@@ -242,7 +242,7 @@
     async def go():
         proxy, sent = store()
         proxy.store.plan = None
-        with pytest.raises(Refusal) as e:
+        with pytest.raises(CallRefusedError) as e:
             await proxy.send(ASK, b"")
         assert e.value.code == 3004 and not sent
 
--- a/tests/evacuation/test_commands.py
+++ b/tests/evacuation/test_commands.py
@@ -44,7 +44,7 @@
         self.value = value or register_value()
 
     def do(self, name, **args):
-        code, doc, changed, self.value = commands.run_apart(self.value, name, args)
+        code, doc, changed, self.value = commands.run_isolated(self.value, name, args)
         return code, doc, changed
 
     def plan(self, **change):
--- a/tests/rpc/test_rpc.py
+++ b/tests/rpc/test_rpc.py
@@ -10,7 +10,7 @@
     Envelope,
     Handlers,
     PendingCalls,
-    Refusal,
+    CallRefusedError,
     TcpNetwork,
     framing,
     is_misdirected,
@@ -91,7 +91,7 @@
 
     @verbs.on("no")
     async def no(doc, body):
-        raise Refusal(3003, "why")
+        raise CallRefusedError(3003, "why")
 
     @verbs.on("bad")
     async def bad(doc, body):
@@ -318,7 +318,7 @@
         old = await calls.get()
         task = connection._channel._task
         writers[0].write(answer(old, b"1"))
-        connection.hang_up()  # with the answer on its way
+        connection.disconnect()  # with the answer on its way
         with pytest.raises(CallError) as e:
             await first
         await asyncio.wait([task])
@@ -328,7 +328,7 @@
         assert new.call != old.call
         writers[1].write(answer(old, b"1") + answer(new, b"2"))
         assert (await second)[1] == 2 and counters.all["rpc.late_answer"] == 1
-        connection.hang_up()
+        connection.disconnect()
         listener.close()
 
     run(go())
@@ -354,8 +354,8 @@
         assert (await second)[1] == 2 and not first.done() and counters.all["rpc.late_answer"] == 1
         writers[0].write(answer(called, b"1"))
         assert (await first)[1] == 1
-        one.hang_up()
-        two.hang_up()
+        one.disconnect()
+        two.disconnect()
         listener.close()
 
     run(go())
--- a/tests/share_group/test_share_group.py
+++ b/tests/share_group/test_share_group.py
@@ -7,7 +7,7 @@
 from tests.support.standins import batch_job
 from tests.system.test_system import holder, world
 
-from archhatch.rpc import Refusal
+from archhatch.rpc import CallRefusedError
 
 
 def workers(w, but=None):
@@ -200,7 +200,7 @@
                 "holding": None,
             }
             for verb, change, code in REFUSED:
-                with pytest.raises(Refusal) as no:
+                with pytest.raises(CallRefusedError) as no:
                     await lead.verbs.table[verb]({**good, **change}, b"[]")
                 assert no.value.code == code, (verb, change)
             assert lead.counters.all["share.other_epoch"] == 3 and lead.counters.all["call.other_life"] == 2
@@ -259,7 +259,7 @@
                         {"worker": worker, "run": "llm", "epoch": leadership.term}, orjson.dumps([row])
                     )
                     assert out["done"] == [False]
-                except Refusal as no:
+                except CallRefusedError as no:
                     assert no.code == 3005
             assert i in w.stores and leadership.state == "over"
             go_on(w)
--- a/tests/simulation/test_deployment.py
+++ b/tests/simulation/test_deployment.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from archhatch.rpc import CallError, Handlers, Refusal
+from archhatch.rpc import CallError, Handlers, CallRefusedError
 from archhatch.simulation.disk import SimulatedDisk
 from archhatch.simulation.faults import FaultKind, Shape, draw_faults
 from archhatch.simulation.loop import Life, SimulationStuck, VirtualLoop
@@ -207,7 +207,7 @@
 
     @handlers.on("no")
     async def _no(doc, body):
-        raise Refusal(3003, "why")
+        raise CallRefusedError(3003, "why")
 
     server = net.at(host, incarnation).server(handlers, None, None, lambda: identity)
     net.loop.run_until_complete(server.open(f"{host}:1"))
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -341,7 +341,7 @@
             line,
         ) in node.connections._all.items():  # what is under way is lost too: a held question for news, say
             if far(address.rsplit(":", 1)[0]):
-                line.hang_up()
+                line.disconnect()
 
     def to(self, address):
         return self if self.far(address.rsplit(":", 1)[0]) else self.real(address)
--- a/tests/system/test_fuzz_external_input.py
+++ b/tests/system/test_fuzz_external_input.py
@@ -106,7 +106,7 @@
     change = {"Revision": 2, "Upsert": {"TenantTable": [tenant]}, "Withdraw": {"RouteTable": ["q"]}}
     value = {"plan": plan()}
     args = {"doc": {**mutated(change, data.draw, data.draw(store.integers(1, 3))), "Revision": 2}, "match": 1}
-    code, _, changed, after = commands.run_apart(value, "plan.patch", args)
+    code, _, changed, after = commands.run_isolated(value, "plan.patch", args)
     assert code in (1000, 2001, 2002) and changed is (code == 1000)
     assert after["plan"]["Revision"] == (2 if changed else 1)
     check_config(after["plan"])
--- a/tests/wal/test_wal_faults.py
+++ b/tests/wal/test_wal_faults.py
@@ -242,10 +242,10 @@
         waiting = asyncio.ensure_future(owner.put(b"b"))
         await asyncio.sleep(0)
         clock.at += 3.0
-        assert owner.log.oldest_write_age(clock.now()) == owner.log.last_sync_age(clock.now()) == 3.0
+        assert owner.log.oldest_write_age_s(clock.now()) == owner.log.last_sync_age_s(clock.now()) == 3.0
         owner.worker.gate.set()
         await waiting
-        assert owner.log.oldest_write_age(clock.now()) == owner.log.last_sync_age(clock.now()) == 0.0
+        assert owner.log.oldest_write_age_s(clock.now()) == owner.log.last_sync_age_s(clock.now()) == 0.0
         await owner.log.close()
 
     run(go())
