--- a/archhatch/capacity/probes/shares.py
+++ b/archhatch/capacity/probes/shares.py
@@ -56,7 +56,9 @@
             members=lambda: {n: {"state": "active"} for n in names},
             placement=need("region_policy.placement", "Placement")(),
         )
-        self.leader = need("share_group", "PartitionLeader", "fetch", "commit", "sync", "_wake", "_hand_out")(store)
+        self.leader = need("share_group", "PartitionLeader", "fetch", "commit", "sync", "notify_workers", "_hand_out")(
+            store
+        )
         self.names, self.places, self.polls = names, places, itertools.count(1)
 
     async def _list(self, batch_job, iid, doc) -> None:
@@ -70,10 +72,10 @@
         self.leadership.fresh = fresh
         run = self.leader.runs[RUN]
         mine = self.engines.of(RUN)
-        self.worker = self.leader.places.driver(run, mine[0])
+        self.worker = self.leader.slots.driver_of(run, mine[0])
         left = self.places
         for e in mine:
-            free = min(left, e.slots) if self.leader.places.driver(run, e) == self.worker else 0
+            free = min(left, e.slots) if self.leader.slots.driver_of(run, e) == self.worker else 0
             e.running[MODEL] = e.slots - free
             left -= free
         if left:
@@ -103,7 +105,7 @@
         cards = orjson.loads(raw)
         if len(cards) != self.places:
             raise ValueError(f"a batch of {len(cards)}, not {self.places}")
-        self.leader.runs[RUN].seats[self.worker].unread.clear()
+        self.leader.runs[RUN].workers[self.worker].unconfirmed_batches.clear()
         done = await self.leader.commit(
             {"worker": self.worker, "run": RUN, "epoch": 1},
             orjson.dumps(
@@ -126,10 +128,10 @@
 
     def turn(self) -> None:
         """What the leader's loop does whenever there is news of work."""
-        self.leader.places.lull.heed({})
+        self.leader.slots.load_limit.heed({})
         self.leader.sync()
-        self.leader.recalls.give_back()
-        self.leader._wake()
+        self.leader.recalls.recall_for_live_requests()
+        self.leader.notify_workers()
 
 
 @probe(
@@ -181,7 +183,7 @@
 
 @probe("window.settle", "cpu", "acquire and accept the entries of a window", "entries", (50, 100, 200))
 async def _settle(n):
-    made = need("share_group", "SharePartition", "append", "acquire", "settle")
+    made = need("share_group", "SharePartition", "append", "acquire", "acknowledge")
 
     def function():
         win = made("m", 1, 30.0, 200)
@@ -189,8 +191,8 @@
         for e in rows:
             win.acquire(e, "w", 0.0)
         for e in rows:
-            win.settle(e.offset, "w", 1, "accept")
-        if win.start != n:
-            raise ValueError(f"the window starts at {win.start}, not {n}")
+            win.acknowledge(e.offset, "w", 1, "accept")
+        if win.start_offset != n:
+            raise ValueError(f"the window starts at {win.start_offset}, not {n}")
 
     yield function, 1
--- a/archhatch/rollout_controller/weight_orders.py
+++ b/archhatch/rollout_controller/weight_orders.py
@@ -112,7 +112,7 @@
         share = math.ceil(len(engines) / max(1, len(self.store.models_of(leadership.run))))
         if loaded < share:
             return True
-        return self.store.leader.short(leadership, model)
+        return self.store.leader.lacks_replicas(leadership, model)
 
     def _starved(self, leadership, model, engines) -> bool:
         """Whether an open lot has no engine that may make its tokens."""
--- a/archhatch/share_group/acknowledgements.py
+++ b/archhatch/share_group/acknowledgements.py
@@ -39,23 +39,23 @@
             self.store.counters.add("share.refused")
             return False
         self._learn(e, row)
-        if e.settling:
+        if e.is_acknowledging:
             return False
         self.leader.unplace(e)
         if row["kind"] == "release":
             return self._release(run, win, e, row)
-        e.settling = True
+        e.is_acknowledging = True
         try:
             await run.leadership.list_result(e.batch_job, e.item.iid, row["doc"])
         except DeposedError:
             run.leadership.over()
             raise CallRefusedError(3005) from None
         finally:
-            e.settling = False
+            e.is_acknowledging = False
         if e.item.iid not in e.batch_job.done:  # the reign or the lot ended meanwhile: not settled
             return False
         if e.state is EntryState.ACQUIRED:
-            win.settle(e.offset, worker, row["dc"], row["kind"])
+            win.acknowledge(e.offset, worker, row["dc"], row["kind"])
             run.entries.get(e.batch_job.job_id, {}).pop(e.item.iid, None)
         self.store.counters.add("share." + row["kind"])
         return True
@@ -68,8 +68,8 @@
             if q is not None:
                 q.forget_home(e.item.group)
         # a delivery count never ends an item: the rules name what may. One that came back often waits longer.
-        pause = row["pause"] + min(self.quiet_s, 0.02 * max(0, e.deliveries - 5))
-        win.held(e.offset, e.worker, e.deliveries)
+        pause = row["pause"] + min(self.quiet_s, 0.02 * max(0, e.delivery_count - 5))
+        win.held(e.offset, e.worker, e.delivery_count)
         self.leader.again(run, e, "release", pause if pause > 0.001 else 0.0)
         return True
 
--- a/archhatch/share_group/acquired_entry.py
+++ b/archhatch/share_group/acquired_entry.py
@@ -11,7 +11,7 @@
 
     run: str
     card: dict
-    until: float  # the lock's end by this node's steady clock
+    locked_until: float  # the lock's end by this node's steady clock
     state: str = "running"
     texts: list = field(default_factory=list)
     last_id: str = ""
--- a/archhatch/share_group/leader.py
+++ b/archhatch/share_group/leader.py
@@ -24,11 +24,11 @@
     >>> # leader = PartitionLeader(store); task_group.keep("leader", leader.run); doc, body = await leader.fetch(doc)
     """
 
-    def __init__(self, store, lock_s: float = 30.0, most_locks: int = 200):
+    def __init__(self, store, lock_s: float = 30.0, max_locks: int = 200):
         self.store = store
-        self.lock_s, self.most_locks = lock_s, most_locks
+        self.lock_s, self.max_locks = lock_s, max_locks
         self.runs: dict[str, LedPartitions] = {}
-        self.places = ReplicaSlots(store)
+        self.slots = ReplicaSlots(store)
         self.due: list = []  # open lots, the most urgent first: (due, lot id, lot, lane, run)
         self.quiet_s = store.quiet_s
         self.recalls, self.settlements = Recalls(self), Acknowledgements(self)
@@ -36,11 +36,11 @@
     async def run(self) -> None:
         store, turn = self.store, 0
         while True:
-            self.places.lull.heed(store.config_watcher.busy)
+            self.slots.load_limit.heed(store.config_watcher.busy)
             self.sync()
-            self.recalls.give_back()
-            self.recalls.move_on()
-            self._wake()
+            self.recalls.recall_for_live_requests()
+            self.recalls.recall_for_moves()
+            self.notify_workers()
             turn = await store.state_board.wait_for_change("work", turn, store.heartbeat_interval_s * 0.5)
 
     # -- what there is to do
@@ -85,12 +85,12 @@
             run.journals[shard].restore(run.windows[shard], records, self.store.counters)
         for batch_job in sorted(run.leadership.batch_jobs.values(), key=lambda x: (x.base, x.job_id)):
             win = self._window(run, batch_job.model)
-            win.next = max(win.next, batch_job.base + batch_job.total)
+            win.next_offset = max(win.next_offset, batch_job.base + batch_job.total)
 
     def _window(self, run: LedPartitions, shard: str) -> SharePartition:
         win = run.windows.get(shard)
         if win is None:
-            win = run.windows[shard] = SharePartition(shard, run.leadership.term, self.lock_s, self.most_locks)
+            win = run.windows[shard] = SharePartition(shard, run.leadership.term, self.lock_s, self.max_locks)
             run.journals[shard] = WindowJournal(run.leadership.run, shard)
         return win
 
@@ -102,7 +102,7 @@
         for it in batch_job.items.values():
             ranks.setdefault(it.group, len(ranks))
             if it.iid in batch_job.done:
-                win.skip(batch_job.base + it.at)
+                win.skip_final(batch_job.base + it.at)
                 continue
             e = win.append(batch_job, it, ranks[it.group], batch_job.base + it.at)
             mine[it.iid] = e
@@ -114,7 +114,7 @@
             if e.state is EntryState.ACQUIRED:
                 self.break_off(run, e, "ended")
             self.unplace(e)
-            run.windows[e.batch_job.model].finish(e)
+            run.windows[e.batch_job.model].archive(e)
         run.queues.pop(job_id, None)
 
     def _close(self, name: str) -> None:
@@ -122,13 +122,13 @@
         for entries in run.entries.values():
             for e in entries.values():
                 self.unplace(e)
-        for seat in run.seats.values():
+        for seat in run.workers.values():
             self.store.state_board.touch(("seat", name, seat.worker))
 
     def break_off(self, run: LedPartitions, e: ShareEntry, why: str) -> None:
-        seat = run.seats.get(e.worker)
+        seat = run.workers.get(e.worker)
         if seat is not None:
-            seat.drop.append((e.batch_job.model, e.offset, e.deliveries, why))
+            seat.cancellations.append((e.batch_job.model, e.offset, e.delivery_count, why))
 
     def unplace(self, e: ShareEntry) -> None:
         if e.engine is not None:
@@ -138,15 +138,15 @@
     def _take_back(self, run: LedPartitions, now: float) -> None:
         """Locks that ran out, workers that are gone, and batches that never came: their entries are Available again."""
         store = self.store
-        for seat in list(run.seats.values()):
-            for n, (at, entries) in list(seat.unread.items()):
+        for seat in list(run.workers.values()):
+            for n, (at, entries) in list(seat.unconfirmed_batches.items()):
                 if now - at > self.quiet_s:
-                    del seat.unread[n]
+                    del seat.unconfirmed_batches[n]
                     for e, delivery in entries:
-                        if e.state is EntryState.ACQUIRED and e.worker == seat.worker and e.deliveries == delivery:
+                        if e.state is EntryState.ACQUIRED and e.worker == seat.worker and e.delivery_count == delivery:
                             self.again(run, e, "batch_lost")
             if not store.alive(seat.worker) or now - seat.heard > self.quiet_s * 2:
-                del run.seats[seat.worker]
+                del run.workers[seat.worker]
                 self._free(run, seat.worker, "worker_gone")
         for win in run.windows.values():
             for e in win.expired(now):
@@ -155,7 +155,7 @@
 
     def _free(self, run: LedPartitions, worker: str, why: str) -> None:
         for win in run.windows.values():
-            for e in [e for e in win.locked.values() if e.worker == worker and not e.settling]:
+            for e in [e for e in win.locked.values() if e.worker == worker and not e.is_acknowledging]:
                 self.again(run, e, why)
 
     def again(self, run: LedPartitions, e: ShareEntry, why: str = "", pause: float = 0.0) -> None:
@@ -163,35 +163,35 @@
         if why:
             self.store.counters.add("share." + why)
         self.unplace(e)
-        run.windows[e.batch_job.model].give_up(e)
+        run.windows[e.batch_job.model].release_lock(e)
         e.not_before = self.store.clock.now() + pause if pause > 0 else 0.0
         q = run.queues.get(e.batch_job.job_id)
         if q is not None:
             q.put(e, front=True)
 
-    def _wake(self) -> None:
+    def notify_workers(self) -> None:
         """Let the polls look again whose engines have room."""
         now = self.store.clock.now()
         for name, run in self.runs.items():
-            if not run.seats:
+            if not run.workers:
                 continue
-            wake = {s.worker for s in run.seats.values() if s.drop}
+            wake = {s.worker for s in run.workers.values() if s.cancellations}
             if any(q.waiting[0] or q.waiting[1] or q.later for q in run.queues.values()):
                 for e in self.store.engines.of(name):
-                    if self.places.open(e, now) > 0:
-                        wake.add(self.places.driver(run, e))
+                    if self.slots.free_slots(e, now) > 0:
+                        wake.add(self.slots.driver_of(run, e))
             for worker in wake:
                 self.store.state_board.touch(("seat", name, worker))
 
-    def short(self, leadership, model: str) -> bool:
+    def lacks_replicas(self, leadership, model: str) -> bool:
         """Whether a model's items would want more replicas that hold a version which they allow."""
         run = self.runs.get(leadership.run)
-        return run is not None and self.places.short(run, model)
+        return run is not None and self.slots.lacks_replicas(run, model)
 
     def demand(self) -> dict[str, float]:
         """By service, the places that the runs led here need to be done in time."""
         return {
-            name: round(self.places.demand(run), 1)
+            name: round(self.slots.demand(run), 1)
             for name, run in self.runs.items()
             if run.leadership.state == "holding"
         }
@@ -224,20 +224,20 @@
         store = self.store
         run = self.run_of(doc)
         now = store.clock.now()
-        seat = run.seats.get(doc["worker"])
+        seat = run.workers.get(doc["worker"])
         if seat is None or seat.incarnation != doc["life"]:
             if doc["holding"] is None:  # it was given up, or this leader is new: first it says what it holds
                 raise CallRefusedError(3007, run.leadership.term)
             if seat is not None:
                 self._free(run, seat.worker, "worker_gone")
-            seat = run.seats[doc["worker"]] = WorkerState(doc["worker"], doc["life"], doc["zone"])
+            seat = run.workers[doc["worker"]] = WorkerState(doc["worker"], doc["life"], doc["zone"])
         if doc["poll"] < seat.poll:
             return {"old": True}, b"[]"
         seat.poll, seat.heard, seat.lag = doc["poll"], now, doc["lag"]
         key = ("seat", doc["run"], seat.worker)
         store.state_board.touch(key)
         for n in doc["got"]:
-            seat.unread.pop(n, None)
+            seat.unconfirmed_batches.pop(n, None)
         for shard, offset, delivery in doc["off"]:
             self._stream_ended(run, seat.worker, shard, offset, delivery)
         kept = self._attach(run, seat, doc["holding"], now) if doc["holding"] is not None else None
@@ -247,26 +247,26 @@
             if run.leadership.state != "holding" or self.runs.get(doc["run"]) is not run:
                 raise CallRefusedError(3005)
             now = store.clock.now()
-            if seat.poll != mine or run.seats.get(seat.worker) is not seat:
+            if seat.poll != mine or run.workers.get(seat.worker) is not seat:
                 return {"old": True, "kept": kept, "drop": [], "batch": None}, b"[]"
             seat.heard = now
-            drop, seat.drop = seat.drop, []
+            drop, seat.cancellations = seat.cancellations, []
             batch = self._hand_out(run, seat, now)
             if batch or drop or kept is not None or now >= end:
                 n = None
                 if batch:
                     seat.batch += 1
                     n = seat.batch
-                    seat.unread[n] = (now, [(e, e.deliveries) for e, _ in batch])
+                    seat.unconfirmed_batches[n] = (now, [(e, e.delivery_count) for e, _ in batch])
                 return {"kept": kept, "drop": drop, "batch": n}, orjson.dumps([d for _, d in batch])
             await store.state_board.wait_for_change(key, turn, end - now)
 
     def _stream_ended(self, run: LedPartitions, worker: str, shard: str, offset: int, delivery: int) -> None:
         win = run.windows.get(shard)
         e = win.locked.get(offset) if win is not None else None
-        if e is not None and e.worker == worker and e.deliveries == delivery:
+        if e is not None and e.worker == worker and e.delivery_count == delivery:
             if e.engine is not None and not e.recalled:
-                run.times.note(shard, self.store.clock.now() - e.until + self.lock_s)
+                run.times.note(shard, self.store.clock.now() - e.locked_until + self.lock_s)
             self.unplace(e)
 
     def _attach(self, run: LedPartitions, seat: WorkerState, holding: list, now: float) -> list:
@@ -275,9 +275,9 @@
         for job_id, iid, engine in holding:
             e = run.entries.get(job_id, {}).get(iid)
             if e is not None and e.state is EntryState.ACQUIRED and e.worker == seat.worker:
-                kept.append([job_id, iid, e.offset, e.deliveries])
+                kept.append([job_id, iid, e.offset, e.delivery_count])
                 continue
-            if e is None or e.state is not EntryState.AVAILABLE or run.windows[e.batch_job.model].room() <= 0:
+            if e is None or e.state is not EntryState.AVAILABLE or run.windows[e.batch_job.model].free_locks() <= 0:
                 continue
             q = run.queues[job_id]
             row = q.groups.get(e.item.group)
@@ -290,13 +290,13 @@
             if eng is not None:
                 e.engine = eng
                 eng.running[e.batch_job.model] = eng.running.get(e.batch_job.model, 0) + 1
-            kept.append([job_id, iid, e.offset, e.deliveries])
+            kept.append([job_id, iid, e.offset, e.delivery_count])
         have = {(job_id, iid) for job_id, iid, _, _ in kept}
         for win in run.windows.values():
             for e in [
                 e
                 for e in win.locked.values()
-                if e.worker == seat.worker and not e.settling and (e.batch_job.job_id, e.item.iid) not in have
+                if e.worker == seat.worker and not e.is_acknowledging and (e.batch_job.job_id, e.item.iid) not in have
             ]:
                 self.again(run, e, "not_held")
         self.store.counters.add("share.attached", len(kept))
@@ -308,7 +308,7 @@
         if now - run.since >= self.quiet_s * 0.5:
             return True
         return all(
-            sid in run.seats for sid, m in store.members().items() if m["state"] == "active" and store.alive(sid)
+            sid in run.workers for sid, m in store.members().items() if m["state"] == "active" and store.alive(sid)
         )
 
     def _hand_out(self, run: LedPartitions, seat: WorkerState, now: float) -> list:
@@ -318,10 +318,10 @@
         waiting = sum(q.waiting[0] + q.waiting[1] + len(q.later) for q in run.queues.values())
         if not waiting:
             return []
-        free = [(e, n) for e in self.store.engines.of(run.leadership.run) if (n := self.places.open(e, now)) > 0]
+        free = [(e, n) for e in self.store.engines.of(run.leadership.run) if (n := self.slots.free_slots(e, now)) > 0]
         # while there are more places than entries, whoever asks first must not fill his engines and leave others idle
         share = math.ceil(waiting / max(1, len(free)))
-        room = {e.iid: [e, min(n, share)] for e, n in free if self.places.driver(run, e) == seat.worker}
+        room = {e.iid: [e, min(n, share)] for e, n in free if self.slots.driver_of(run, e) == seat.worker}
         out: list = []
         for surplus in (False, True):
             for _, job_id, batch_job, route, owner in self.due:
@@ -351,7 +351,7 @@
         while fit:
             for iid in list(fit):
                 e, _ = room[iid]
-                entry = q.take(iid, surplus, now) if win.room() > 0 else None
+                entry = q.take(iid, surplus, now) if win.free_locks() > 0 else None
                 if entry is None:
                     return
                 win.acquire(entry, seat.worker, now)
@@ -372,7 +372,7 @@
         return {
             "part": batch_job.model,
             "off": x.offset,
-            "dc": x.deliveries,
+            "dc": x.delivery_count,
             "lot": batch_job.job_id,
             "iid": it.iid,
             "host": batch_job.host,
@@ -407,7 +407,9 @@
         while True:
             await asyncio.sleep(self.store.heartbeat_interval_s * 2)
             for run in list(self.runs.values()):
-                records = [r for shard, win in run.windows.items() if (r := run.journals[shard].next(win)) is not None]
+                records = [
+                    r for shard, win in run.windows.items() if (r := run.journals[shard].next_record(win)) is not None
+                ]
                 for record in records:
                     try:
                         await run.leadership.note(record)
--- a/archhatch/share_group/led_partitions.py
+++ b/archhatch/share_group/led_partitions.py
@@ -22,9 +22,9 @@
     heard: float = 0.0
     lag: float = 0.0
     poll: int = 0  # the newest poll; older ones are answered at once
-    drop: list = field(default_factory=list)  # (partition, offset, delivery, why): to be broken off
+    cancellations: list = field(default_factory=list)  # (partition, offset, delivery, why): to be broken off
     batch: int = 0
-    unread: dict = field(default_factory=dict)  # batch -> (when, [entries]) until the worker says it came
+    unconfirmed_batches: dict = field(default_factory=dict)  # batch -> (when, [entries]) until the worker says it came
 
 
 class LedPartitions:
@@ -37,7 +37,7 @@
         self.journals: dict[str, WindowJournal] = {}
         self.queues: dict[str, JobQueue] = {}  # lot -> its Available entries
         self.entries: dict[str, dict[str, ShareEntry]] = {}  # lot -> item -> entry that is not final
-        self.seats: dict[str, WorkerState] = {}
+        self.workers: dict[str, WorkerState] = {}
         self.drivers: dict[str, str] = {}  # engine -> worker
         self.drivers_of: tuple = ()
         self.times = RunTimes()
--- a/archhatch/share_group/recalls.py
+++ b/archhatch/share_group/recalls.py
@@ -12,21 +12,21 @@
 class Recalls:
     """One look at all that runs, for one leader.
 
-    >>> # recalls = Recalls(leader); recalls.give_back(); recalls.move_on()
+    >>> # recalls = Recalls(leader); recalls.recall_for_live_requests(); recalls.recall_for_moves()
     """
 
     def __init__(self, leader):
-        self.leader, self.store, self.places = leader, leader.store, leader.places
+        self.leader, self.store, self.slots = leader, leader.store, leader.slots
 
-    def give_back(self) -> None:
+    def recall_for_live_requests(self) -> None:
         """Live requests are back: break off the newest items over the places that are left. What is made of their
         texts is kept, and they go on where it ends."""
-        if not self.places.lull.busy:
+        if not self.slots.load_limit.busy:
             return
         for run in self.leader.runs.values():
             over: dict = {}
             for e in self.store.engines.of(run.leadership.run):
-                n = e.busy() - self.places.places(e)
+                n = e.busy() - self.slots.usable_slots(e)
                 if n > 0:
                     over[e.iid] = n
             if not over:
@@ -38,12 +38,12 @@
                         here.setdefault(x.engine.iid, []).append(x)
             for iid, rows in here.items():
                 n = over[iid] - sum(1 for x in rows if x.recalled)
-                for x in sorted((x for x in rows if not x.recalled), key=lambda x: -x.until)[: max(0, n)]:
+                for x in sorted((x for x in rows if not x.recalled), key=lambda x: -x.locked_until)[: max(0, n)]:
                     x.recalled = True
                     self.leader.break_off(run, x, RECALL)
                     self.store.counters.add("item.recalled")
 
-    def move_on(self) -> None:
+    def recall_for_moves(self) -> None:
         """A planned move: entries that run where they should no longer run are recalled, as far as there are free
         places where they go on; their texts are kept. Not by a leader that is to hand its run on: texts that came back
         to it would end with its term, while entries that run are taken up by the next leader, which recalls them."""
@@ -63,10 +63,10 @@
                     self._leave_homes(run.queues[job_id], route)
             held = [entry for window in run.windows.values() for entry in window.locked.values()]
             leaving = [entry for entry in held if self._leaves(entry, routes.get(entry.batch_job.job_id))]
-            room = self.places.room_for(run, [routes[entry.batch_job.job_id] for entry in leaving])
+            room = self.slots.free_slots_on(run, [routes[entry.batch_job.job_id] for entry in leaving])
             room -= sum(q.waiting[0] + q.waiting[1] for q in run.queues.values())
             room -= sum(1 for entry in leaving if entry.recalled)
-            fresh = sorted((entry for entry in leaving if not entry.recalled), key=lambda entry: -entry.until)
+            fresh = sorted((entry for entry in leaving if not entry.recalled), key=lambda entry: -entry.locked_until)
             for entry in fresh[: max(0, room)]:
                 entry.recalled = True
                 self.leader.break_off(run, entry, RECALL)
@@ -76,7 +76,7 @@
         return (
             route is not None
             and entry.engine is not None
-            and not entry.settling
+            and not entry.is_acknowledging
             and self.store.placement.leaves(route, entry.engine.zone)
         )
 
--- a/archhatch/share_group/replica_slots.py
+++ b/archhatch/share_group/replica_slots.py
@@ -24,25 +24,25 @@
 class ReplicaSlots:
     """Answers for one leader.
 
-    >>> # places = ReplicaSlots(store); places.open(engine, now); places.driver(run, engine)
+    >>> # places = ReplicaSlots(store); places.free_slots(engine, now); places.driver_of(run, engine)
     """
 
     def __init__(self, store):
         self.store = store
-        self.lull = LoadLimit()
+        self.load_limit = LoadLimit()
 
-    def workers(self, run: LedPartitions) -> list:
+    def eligible_workers(self, run: LedPartitions) -> list:
         """Seats that may drive replicas: not those that lag far behind the others, nor this node if others can."""
-        seats = list(run.seats.values())
+        seats = list(run.workers.values())
         lags = sorted(s.lag for s in seats)
         middle = lags[len(lags) // 2] if lags else 0.0
         well = [s for s in seats if s.lag <= max(LAG * middle, self.store.heartbeat_interval_s * 0.25)] or seats
         others = [s for s in well if s.worker != self.store.id]
         return others if len(others) >= 2 else well
 
-    def driver(self, run: LedPartitions, e) -> str | None:
+    def driver_of(self, run: LedPartitions, e) -> str | None:
         """The worker of an engine, by rendezvous: of the engine's zone where there is one."""
-        seats = self.workers(run)
+        seats = self.eligible_workers(run)
         key = tuple(sorted((s.worker, s.zone) for s in seats))
         if key != run.drivers_of:
             run.drivers_of, run.drivers = key, {}
@@ -52,20 +52,20 @@
             got = run.drivers[e.iid] = rank(e.iid, near)[0]
         return got
 
-    def places(self, e) -> int:
-        return self.lull.places(e.service, e.slots, self.store.engines.count(e.service))
+    def usable_slots(self, e) -> int:
+        return self.load_limit.places(e.service, e.slots, self.store.engines.count(e.service))
 
-    def open(self, e, now: float) -> int:
+    def free_slots(self, e, now: float) -> int:
         """Free places of an engine that may have items; one in doubt gets few until it has proven itself."""
         if e.draining or e.pause_until > now:
             return 0
         health = e.health.look(now)
         if health == "resting":
             return 0
-        places = self.places(e)
+        places = self.usable_slots(e)
         return (min(places, max(1, places // DOUBTFUL)) if health == "doubtful" else places) - e.busy()
 
-    def short(self, run: LedPartitions, model: str) -> bool:
+    def lacks_replicas(self, run: LedPartitions, model: str) -> bool:
         """Whether items that the trainer waits for find no free place under a version that they allow, and would not be
         done well before they are due where the others run."""
         now = self.store.clock.now()
@@ -78,7 +78,7 @@
                 for e in self.store.engines.of(run.leadership.run)
                 if model not in e.held and e.revs.get(model, 1) >= batch_job.least and not e.draining
             ]
-            if any(e.busy() < self.places(e) for e in fit):
+            if any(e.busy() < self.usable_slots(e) for e in fit):
                 continue
             if not self._in_time(run, batch_job, q.waiting[False], sum(e.running.get(model, 0) for e in fit), now):
                 return True
@@ -104,9 +104,9 @@
         route, done_s = lane_of(self.store.plan, batch_job), run.times.forecast(batch_job.model, waiting, running)
         return route is not None and done_s is not None and done_s <= IN_TIME * (batch_job.taken + route.due_s - now)
 
-    def room_for(self, run: LedPartitions, routes: list) -> int:
+    def free_slots_on(self, run: LedPartitions, routes: list) -> int:
         """Free places where any of these lanes may run."""
         now, placement = self.store.clock.now(), self.store.placement
         zones = {zone for route in {id(x): x for x in routes}.values() for zone in placement.zones(route) or ()}
         engines = [e for e in self.store.engines.of(run.leadership.run) if e.zone in zones]
-        return sum(max(0, self.open(e, now)) for e in engines)
+        return sum(max(0, self.free_slots(e, now)) for e in engines)
--- a/archhatch/share_group/window.py
+++ b/archhatch/share_group/window.py
@@ -17,7 +17,7 @@
     ARCHIVED = 4
 
 
-MOVES = [
+TRANSITION_RULES = [
     {"trigger": "acquire", "source": "AVAILABLE", "dest": "ACQUIRED"},
     {"trigger": "release", "source": "ACQUIRED", "dest": "AVAILABLE"},
     {"trigger": "accept", "source": "ACQUIRED", "dest": "ACKNOWLEDGED"},
@@ -31,16 +31,20 @@
 def _table() -> dict:
     """The machine's moves as a look-up: entries come by the ten thousand, one machine serves them all."""
     Machine(
-        model=None, states=[s.name for s in EntryState], initial="AVAILABLE", transitions=MOVES, auto_transitions=False
+        model=None,
+        states=[s.name for s in EntryState],
+        initial="AVAILABLE",
+        transitions=TRANSITION_RULES,
+        auto_transitions=False,
     )
     out = {}
-    for m in MOVES:
+    for m in TRANSITION_RULES:
         for src in [m["source"]] if isinstance(m["source"], str) else m["source"]:
             out[EntryState[src], m["trigger"]] = EntryState[m["dest"]]
     return out
 
 
-TABLE = _table()
+TRANSITIONS = _table()
 
 
 class InvalidTransitionError(Exception):
@@ -56,10 +60,10 @@
     item: object
     rank: int
     state: EntryState = EntryState.AVAILABLE
-    deliveries: int = 0
+    delivery_count: int = 0
     worker: str = ""
-    until: float = 0.0
-    settling: bool = False
+    locked_until: float = 0.0
+    is_acknowledging: bool = False
     engine: object = None  # where it runs, while its stream takes a place there
     fails: int = 0
     texts: list = field(default_factory=list)
@@ -85,92 +89,94 @@
 
 class SharePartition:
     """Entries by offset. Before start all are final; from end on none was ever acquired; between them they are in
-    flight. Locks are timed on the steady clock and at most most_locks at once.
+    flight. Locks are timed on the steady clock and at most max_locks at once.
 
-    >>> w = SharePartition("m", 3, lock_s=30.0, most_locks=200); e = w.append(None, None, 0)
-    >>> w.acquire(e, "w1", 0.0); w.settle(e.offset, "w1", 1, "accept").state.name, w.start
+    >>> w = SharePartition("m", 3, lock_s=30.0, max_locks=200); e = w.append(None, None, 0)
+    >>> w.acquire(e, "w1", 0.0); w.acknowledge(e.offset, "w1", 1, "accept").state.name, w.start_offset
     ('ACKNOWLEDGED', 1)
     """
 
-    def __init__(self, partition: str, epoch: int, lock_s: float, most_locks: int):
+    def __init__(self, partition: str, epoch: int, lock_s: float, max_locks: int):
         self.partition, self.epoch = partition, epoch
-        self.lock_s, self.most_locks = lock_s, most_locks
-        self.start = self.end = 0
-        self.next = 0  # the offset of the next entry that is appended
+        self.lock_s, self.max_locks = lock_s, max_locks
+        self.start_offset = self.end_offset = 0
+        self.next_offset = 0  # the offset of the next entry that is appended
         self.entries: dict[int, ShareEntry] = {}  # those that are not final
         self.locked: dict[int, ShareEntry] = {}
-        self.counts: dict[int, int] = {}  # delivery counts read from a snapshot, until their entries are appended
-        self.dirty: dict[int, tuple] = {}  # offset -> (state, deliveries) since the last delta
+        self.restored_counts: dict[
+            int, int
+        ] = {}  # delivery counts read from a snapshot, until their entries are appended
+        self.unsaved: dict[int, tuple] = {}  # offset -> (state, delivery_count) since the last delta
 
     def _move(self, e: ShareEntry, trigger: str) -> None:
-        to = TABLE.get((e.state, trigger))
+        to = TRANSITIONS.get((e.state, trigger))
         if to is None:
             raise InvalidTransitionError(f"{self.partition}@{e.offset}: {e.state.name} knows no {trigger}")
         e.state = to
         if to is not EntryState.ACQUIRED:
             self.locked.pop(e.offset, None)
-            e.settling = False
+            e.is_acknowledging = False
             # acquisitions are not written down, as in KIP-932: a new leader presents them again
-            self.dirty[e.offset] = (int(to), e.deliveries)
+            self.unsaved[e.offset] = (int(to), e.delivery_count)
         if to in FINAL:
             self.entries.pop(e.offset, None)
             self._advance()
 
     def _advance(self) -> None:
-        while self.start < self.next and self.start not in self.entries:
-            self.start += 1
-        self.end = max(self.end, self.start)
+        while self.start_offset < self.next_offset and self.start_offset not in self.entries:
+            self.start_offset += 1
+        self.end_offset = max(self.end_offset, self.start_offset)
 
     def append(self, batch_job, item, rank: int, offset: int | None = None) -> ShareEntry:
         """A new entry behind all others, or at the offset that it had under an earlier leader."""
-        at = self.next if offset is None or offset in self.entries or offset < self.start else offset
+        at = self.next_offset if offset is None or offset in self.entries or offset < self.start_offset else offset
         e = self.entries[at] = ShareEntry(at, batch_job, item, rank)
-        e.deliveries = self.counts.pop(at, 0)
-        self.next = max(self.next, at + 1)
+        e.delivery_count = self.restored_counts.pop(at, 0)
+        self.next_offset = max(self.next_offset, at + 1)
         return e
 
-    def skip(self, offset: int) -> None:
+    def skip_final(self, offset: int) -> None:
         """An offset whose entry was final before this leader came."""
-        self.next = max(self.next, offset + 1)
-        self.counts.pop(offset, None)
+        self.next_offset = max(self.next_offset, offset + 1)
+        self.restored_counts.pop(offset, None)
         self._advance()
 
-    def room(self) -> int:
+    def free_locks(self) -> int:
         """Locks that are left."""
-        return self.most_locks - len(self.locked)
+        return self.max_locks - len(self.locked)
 
     def acquire(self, e: ShareEntry, worker: str, now: float) -> None:
         """Lock an Available entry for a worker; raises the delivery count."""
-        if self.room() <= 0:
-            raise InvalidTransitionError(f"{self.partition}: all {self.most_locks} locks are taken")
+        if self.free_locks() <= 0:
+            raise InvalidTransitionError(f"{self.partition}: all {self.max_locks} locks are taken")
         self._move(e, "acquire")
-        e.deliveries += 1
-        e.worker, e.until, e.recalled = worker, now + self.lock_s, False
+        e.delivery_count += 1
+        e.worker, e.locked_until, e.recalled = worker, now + self.lock_s, False
         self.locked[e.offset] = e
-        self.end = max(self.end, e.offset + 1)
+        self.end_offset = max(self.end_offset, e.offset + 1)
 
     def held(self, offset: int, worker: str, delivery: int) -> ShareEntry:
         """The entry of a settlement; InvalidTransitionError unless this worker holds this very acquisition."""
         e = self.locked.get(offset)
-        if e is None or e.worker != worker or e.deliveries != delivery:
+        if e is None or e.worker != worker or e.delivery_count != delivery:
             raise InvalidTransitionError(f"{self.partition}@{offset}: not held by {worker} with delivery {delivery}")
         return e
 
-    def settle(self, offset: int, worker: str, delivery: int, kind: str) -> ShareEntry:
+    def acknowledge(self, offset: int, worker: str, delivery: int, kind: str) -> ShareEntry:
         """accept, release or reject an entry."""
         e = self.held(offset, worker, delivery)
         self._move(e, kind)
         return e
 
-    def give_up(self, e: ShareEntry) -> None:
+    def release_lock(self, e: ShareEntry) -> None:
         """Take a lock back: it ran out, or its worker is gone."""
         self._move(e, "release")
 
-    def finish(self, e: ShareEntry, found: bool = False) -> None:
+    def archive(self, e: ShareEntry, found: bool = False) -> None:
         """No more runs of this entry: its lot ended, or it was found settled."""
         if e.state not in FINAL:
             self._move(e, "found" if found else "archive")
 
     def expired(self, now: float) -> list[ShareEntry]:
         """Entries whose lock ran out. One that is being settled keeps it."""
-        return [e for e in self.locked.values() if now >= e.until and not e.settling]
+        return [e for e in self.locked.values() if now >= e.locked_until and not e.is_acknowledging]
--- a/archhatch/share_group/window_journal.py
+++ b/archhatch/share_group/window_journal.py
@@ -8,13 +8,13 @@
 from ..runtime import encode_kept
 from .window import EntryState, SharePartition
 
-EVERY = 32  # deltas after which a new snapshot is written
+UPDATES_PER_SNAPSHOT = 32  # deltas after which a new snapshot is written
 
 
-def batches(marks: dict) -> list:
-    """Runs of offsets with the same state and count: [[first, last, state, deliveries], ...].
+def state_batches(marks: dict) -> list:
+    """Runs of offsets with the same state and count: [[first, last, state, delivery_count], ...].
 
-    >>> batches({0: (2, 1), 1: (2, 1), 3: (0, 2)})
+    >>> state_batches({0: (2, 1), 1: (2, 1), 3: (0, 2)})
     [[0, 1, 2, 1], [3, 3, 0, 2]]
     """
     out: list = []
@@ -30,7 +30,7 @@
 class WindowJournal:
     """Makes the records of one window and reads them back.
 
-    >>> # record = journal.next(window); await replicator.put(run, epoch, [record])
+    >>> # record = journal.next_record(window); await replicator.put(run, epoch, [record])
     """
 
     def __init__(self, run: str, partition: str):
@@ -50,19 +50,25 @@
         }
         return Record(head, encode_kept(doc))
 
-    def next(self, win: SharePartition) -> Record | None:
+    def next_record(self, win: SharePartition) -> Record | None:
         """A snapshot when one is due, else a delta of what changed; None if nothing did."""
-        if not win.dirty and self.snapshot_epoch:
+        if not win.unsaved and self.snapshot_epoch:
             return None
-        if not self.snapshot_epoch or self.number >= EVERY:
+        if not self.snapshot_epoch or self.number >= UPDATES_PER_SNAPSHOT:
             self.snapshot_epoch += 1
             self.number = 0
-            marks = {o: (int(EntryState.AVAILABLE), e.deliveries) for o, e in win.entries.items() if e.deliveries}
-            win.dirty = {}
-            return self._rec("S", win.epoch, {"start": win.start, "next": win.next, "batches": batches(marks)})
+            marks = {
+                o: (int(EntryState.AVAILABLE), e.delivery_count) for o, e in win.entries.items() if e.delivery_count
+            }
+            win.unsaved = {}
+            return self._rec(
+                "S", win.epoch, {"start": win.start_offset, "next": win.next_offset, "batches": state_batches(marks)}
+            )
         self.number += 1
-        marks, win.dirty = win.dirty, {}
-        return self._rec("U", win.epoch, {"start": win.start, "next": win.next, "batches": batches(marks)})
+        marks, win.unsaved = win.unsaved, {}
+        return self._rec(
+            "U", win.epoch, {"start": win.start_offset, "next": win.next_offset, "batches": state_batches(marks)}
+        )
 
     def restore(self, win: SharePartition, found: list, counters) -> None:
         """Load the newest snapshot among the records that stores told, then its deltas in order up to the first gap.
@@ -83,13 +89,13 @@
             try:
                 doc = orjson.loads(raw)
                 marks = [(int(a), int(b), int(s), int(c)) for a, b, s, c in doc["batches"]]
-                win.start, win.next = int(doc["start"]), max(win.next, int(doc["next"]))
+                win.start_offset, win.next_offset = int(doc["start"]), max(win.next_offset, int(doc["next"]))
             except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
                 counters.add("share.delta_damaged" if n else "share.snapshot_damaged")
                 break
             for first, last, _, count in marks:
                 for off in range(first, last + 1):
-                    win.counts[off] = count
-        win.end = win.start
-        win.counts = {o: c for o, c in win.counts.items() if o >= win.start}
+                    win.restored_counts[off] = count
+        win.end_offset = win.start_offset
+        win.restored_counts = {o: c for o, c in win.restored_counts.items() if o >= win.start_offset}
         self.snapshot_epoch = serial
--- a/archhatch/share_group/worker.py
+++ b/archhatch/share_group/worker.py
@@ -21,7 +21,7 @@
         self.epoch = 0
         self.attach = True
         self.poll = 0
-        self.jobs: dict[tuple, AcquiredEntry] = {}
+        self.entries: dict[tuple, AcquiredEntry] = {}
         self.off: list = []  # streams that ended, until a poll that told of them was answered
         self.got: list = []  # batches that came
         self.heard = float("-inf")  # when the leader's last answered question was sent
@@ -37,10 +37,10 @@
 
     def __init__(self, store):
         self.store = store
-        self.desks: dict[str, LeaderSession] = {}
-        self.lull = LoadLimit()
+        self.sessions: dict[str, LeaderSession] = {}
+        self.load_limit = LoadLimit()
         self.stream = ItemStream(store)
-        self.scoring = Scoring(store, self.lull)
+        self.scoring = Scoring(store, self.load_limit)
         self.hold_s = store.settings.seconds("CancelMs", 0.25)
         self.touch_s = store.settings.seconds("CancelMs", 0.5)
 
@@ -49,25 +49,25 @@
         store, turn = self.store, 0
         while True:
             for run in store.tenures():
-                if run not in self.desks:
-                    self.desks[run] = LeaderSession()
+                if run not in self.sessions:
+                    self.sessions[run] = LeaderSession()
                     store.task_group.keep("pull", self._pull, run)
                     store.task_group.keep("commit", self._commit, run)
-                desk, lead = self.desks[run], self._leader(run)
+                desk, lead = self.sessions[run], self._leader(run)
                 if lead is not None and lead[0] != desk.epoch:
                     desk.poke.set()  # another leads now: don't wait for the old one's answer
-            self.lull.heed(store.config_watcher.busy)
+            self.load_limit.heed(store.config_watcher.busy)
             turn = await store.state_board.wait_for_change("work", turn, store.heartbeat_interval_s)
 
     async def leave(self) -> None:
         """Give everything back at once: what runs is released with what was made of it, what is whole is committed."""
-        for desk in self.desks.values():
-            for job in list(desk.jobs.values()):
+        for desk in self.sessions.values():
+            for job in list(desk.entries.values()):
                 if job.state == "running" and job.task is not None:
                     job.task.cancel()
         end = self.store.clock.now() + self.store.quiet_s
         while self.store.clock.now() < end and any(
-            j.row is not None or j.state == "running" for d in self.desks.values() for j in d.jobs.values()
+            j.row is not None or j.state == "running" for d in self.sessions.values() for j in d.entries.values()
         ):
             await asyncio.sleep(self.store.heartbeat_interval_s * 0.1)
 
@@ -91,7 +91,7 @@
     # -- pulling
 
     async def _pull(self, run: str) -> None:
-        store, desk = self.store, self.desks[run]
+        store, desk = self.store, self.sessions[run]
         while True:
             lead = self._leader(run)
             if lead is None or not store.ready or store.leaving:
@@ -115,7 +115,7 @@
         sent = store.clock.now()
         desk.poll += 1
         off, got = list(desk.off), list(desk.got)
-        held = [j for j in desk.jobs.values()] if desk.attach else None
+        held = [j for j in desk.entries.values()] if desk.attach else None
         doc = {
             "worker": store.id,
             "life": store.incarnation,
@@ -157,7 +157,7 @@
             job = next(
                 (
                     j
-                    for j in desk.jobs.values()
+                    for j in desk.entries.values()
                     if (j.card["part"], j.card["off"], j.card["dc"]) == (shard, offset, delivery)
                 ),
                 None,
@@ -179,12 +179,12 @@
         for job in held:
             mine = new.get(job.key())
             if mine is None:
-                desk.jobs.pop(job.key(), None)
+                desk.entries.pop(job.key(), None)
                 if job.task is not None:
                     job.task.cancel()
                 continue
             job.card["off"], job.card["dc"] = mine
-            job.until = self.store.clock.now() + job.card["lock"]
+            job.locked_until = self.store.clock.now() + job.card["lock"]
             if job.row is not None:
                 job.row["off"], job.row["dc"] = mine
             if job.state != "running":
@@ -193,9 +193,9 @@
 
     def _take(self, run: str, desk: LeaderSession, card: dict, sent: float) -> None:
         key = (card["lot"], card["iid"])
-        old = desk.jobs.get(key)
+        old = desk.entries.get(key)
         if old is not None and old.task is not None:  # given up by the leader, and handed out anew
-            desk.jobs.pop(key)
+            desk.entries.pop(key)
             old.task.cancel()
         job = AcquiredEntry(
             run,
@@ -208,15 +208,15 @@
         )
         job.item = SimpleNamespace(iid=card["iid"], scorer=card["scorer"])
         job.may_send = lambda: self._may_send(job)
-        desk.jobs[key] = job
+        desk.entries[key] = job
         job.task = self.store.task_group.once("item", self._run, desk, job)
 
     def _may_send(self, job: AcquiredEntry) -> bool:
         """Whether a new request of this entry may reach a replica: the lock stands and the leader was heard lately, so
         that the lot cannot have been ended for longer than the bound allows."""
         now = self.store.clock.now()
-        desk = self.desks[job.run]
-        return now < job.until and now - desk.heard <= self.touch_s and desk.jobs.get(job.key()) is job
+        desk = self.sessions[job.run]
+        return now < job.locked_until and now - desk.heard <= self.touch_s and desk.entries.get(job.key()) is job
 
     # -- running
 
@@ -225,10 +225,10 @@
             await self.stream.run(job)
         except asyncio.CancelledError:
             # the leader wants it back: what was made goes with it
-            if desk.jobs.get(job.key()) is job and job.state == "running":
+            if desk.entries.get(job.key()) is job and job.state == "running":
                 self._settle(desk, job, "release")
             else:
-                desk.jobs.pop(job.key(), None) if desk.jobs.get(job.key()) is job else None
+                desk.entries.pop(job.key(), None) if desk.entries.get(job.key()) is job else None
             self._off(desk, job)
             raise
         if job.state == "running":
@@ -249,8 +249,8 @@
                     if job.card["scorer"]:
                         doc["Score"] = seal
         except asyncio.CancelledError:
-            if desk.jobs.get(job.key()) is job:
-                desk.jobs.pop(job.key())
+            if desk.entries.get(job.key()) is job:
+                desk.entries.pop(job.key())
             raise
         self.store.counters.add("item." + doc["OperState"])
         self._settle(desk, job, "accept" if doc["OperState"] == "complete" else "reject", doc)
@@ -289,11 +289,11 @@
 
     async def _commit(self, run: str) -> None:
         """Bring settlements to the leader, all that wait in one call; again until it answers."""
-        store, desk = self.store, self.desks[run]
+        store, desk = self.store, self.sessions[run]
         while True:
             await desk.ready.wait()
             desk.ready.clear()
-            jobs = [j for j in desk.jobs.values() if j.row is not None][:64]
+            jobs = [j for j in desk.entries.values() if j.row is not None][:64]
             lead = self._leader(run)
             if not jobs:
                 continue
@@ -324,10 +324,10 @@
                 if (
                     job.row is not None
                     and (job.row["off"], job.row["dc"]) == (row["off"], row["dc"])
-                    and desk.jobs.get(job.key()) is job
+                    and desk.entries.get(job.key()) is job
                 ):
-                    desk.jobs.pop(job.key())
+                    desk.entries.pop(job.key())
                     if not done:
                         store.counters.add("share.lost_settlement")
-            if any(j.row is not None for j in desk.jobs.values()):
+            if any(j.row is not None for j in desk.entries.values()):
                 desk.ready.set()
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -467,25 +467,25 @@
 
 def _work(window, journal):
     """Moves of a window's entries, with the records of them: a snapshot, deltas, and a new snapshot behind those."""
-    yield journal.next(window)
+    yield journal.next_record(window)
     entries = [window.append(None, None, 0) for _ in range(40)]
     for n, kind in enumerate(("accept", "reject", "release", "release", "accept")):
         window.acquire(entries[n], "w1", 0.0)
-        window.settle(n, "w1", 1, kind)
-    yield journal.next(window)
+        window.acknowledge(n, "w1", 1, kind)
+    yield journal.next_record(window)
     window.acquire(entries[2], "w2", 0.0)
-    window.give_up(entries[2])
-    window.finish(entries[6])
-    window.finish(entries[7], found=True)
-    yield journal.next(window)
+    window.release_lock(entries[2])
+    window.archive(entries[6])
+    window.archive(entries[7], found=True)
+    yield journal.next_record(window)
     for n in range(8, 38):
         window.acquire(entries[n], "w1", 0.0)
-        window.settle(n, "w1", 1, "accept" if n % 3 else "release")
-        yield journal.next(window)
+        window.acknowledge(n, "w1", 1, "accept" if n % 3 else "release")
+        yield journal.next_record(window)
     for n in (3, 5):
         window.acquire(entries[n], "w1", 0.0)
-        window.settle(n, "w1", 2 if n == 3 else 1, "accept")
-        yield journal.next(window)
+        window.acknowledge(n, "w1", 2 if n == 3 else 1, "accept")
+        yield journal.next_record(window)
 
 
 async def _build_store(folder):
@@ -514,7 +514,7 @@
         await first.list_result(first.batch_jobs["lot-1"], f"i{n}", {**RESULT, "InstanceId": f"i{n}"})
     await first.list_result(first.batch_jobs["lot-2"], "i1", RESULT)
     await first.end("lot-2")
-    window = SharePartition("llm-a", 1, lock_s=30.0, most_locks=200)
+    window = SharePartition("llm-a", 1, lock_s=30.0, max_locks=200)
     for record in _work(window, WindowJournal("llm", "llm-a")):
         await first.note(record)
     # the second term reads all that, and writes anew what too few stores hold
@@ -523,15 +523,15 @@
     clock.at += 0.5
     await second.intend("replica-2")
     await second.list_result(second.batch_jobs["lot-1"], "i3", {**RESULT, "InstanceId": "i3"})
-    restored, journal = SharePartition("llm-a", 2, lock_s=30.0, most_locks=200), WindowJournal("llm", "llm-a")
+    restored, journal = SharePartition("llm-a", 2, lock_s=30.0, max_locks=200), WindowJournal("llm", "llm-a")
     journal.restore(restored, second.window_recs, Counters())
-    restored.finish(restored.append(None, None, 0))
-    await second.note(journal.next(restored))
+    restored.archive(restored.append(None, None, 0))
+    await second.note(journal.next_record(restored))
     # a delta of another partition, whose snapshot this store never got
-    other, behind = SharePartition("llm-b", 2, lock_s=30.0, most_locks=200), WindowJournal("llm", "llm-b")
-    behind.next(other)
-    other.finish(other.append(None, None, 0))
-    await second.note(behind.next(other))
+    other, behind = SharePartition("llm-b", 2, lock_s=30.0, max_locks=200), WindowJournal("llm", "llm-b")
+    behind.next_record(other)
+    other.archive(other.append(None, None, 0))
+    await second.note(behind.next_record(other))
     assert (await record_store.prepare("fast", 4))["ok"]
     out = {"store.appended": only_file(folder, "store")}
     await wal.rewrite()
@@ -571,11 +571,11 @@
     }
     windows = {}
     for shard in sorted({head["part"] for head, _ in told["windows"]}):
-        window, counters = SharePartition(shard, 9, lock_s=30.0, most_locks=200), Counters()
+        window, counters = SharePartition(shard, 9, lock_s=30.0, max_locks=200), Counters()
         journal = WindowJournal("llm", shard)
         journal.restore(window, [(h, b) for h, b in told["windows"] if h["part"] == shard], counters)
-        counts = {str(offset): count for offset, count in window.counts.items()}
-        windows[shard] = [window.start, window.next, counts, journal.snapshot_epoch]
+        counts = {str(offset): count for offset, count in window.restored_counts.items()}
+        windows[shard] = [window.start_offset, window.next_offset, counts, journal.snapshot_epoch]
     state = {
         "id": record_store.id,
         "promised": record_store.promised,
--- a/tests/rollout_controller/test_load_limit.py
+++ b/tests/rollout_controller/test_load_limit.py
@@ -115,8 +115,8 @@
                 and all(
                     len(j.texts) == 2
                     for o in w.stores.values()
-                    for d in o.worker.desks.values()
-                    for j in d.jobs.values()
+                    for d in o.worker.sessions.values()
+                    for j in d.entries.values()
                 )
             ):
                 return s
--- a/tests/rollout_controller/test_weight_orders.py
+++ b/tests/rollout_controller/test_weight_orders.py
@@ -113,7 +113,7 @@
         named=lambda: {m: named for m in models},
         models_of=lambda run: list(models),
         plan=RoutingTable({"Revision": 1, "RouteTable": [], "ServiceTable": []}),
-        leader=SimpleNamespace(short=lambda leadership, model: False),
+        leader=SimpleNamespace(lacks_replicas=lambda leadership, model: False),
         task_group=None,
     )
     store.leaderships = {"s": FakeReign(clock)}
@@ -256,7 +256,7 @@
 )  # items wait for places: more of them
 def test_how_many_load(clock, n, models, short, loaded):
     store, leadership, orders = setup(clock, FakeReplica(), models=models, n=n)
-    store.leader.short = lambda r, m: short and m == "m"
+    store.leader.lacks_replicas = lambda r, m: short and m == "m"
     es = list(store.engines.all.values())
     got = 0
     while orders._wanted(leadership, "m", es, 2) and got < n:
--- a/tests/runtime/test_document_encoding.py
+++ b/tests/runtime/test_document_encoding.py
@@ -34,7 +34,7 @@
     window, journal = SharePartition("m", 1, 30.0, 200), WindowJournal("r", "m")
     tracemalloc.start()
     try:
-        record = journal.next(window)
+        record = journal.next_record(window)
         held, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
--- a/tests/share_group/test_last_result.py
+++ b/tests/share_group/test_last_result.py
@@ -71,7 +71,7 @@
     lead = PartitionLeader(store)
     lead.sync()
     shard = lead.runs["s"]
-    shard.seats["w"] = WorkerState("w", "life", heard=clock.now())
+    shard.workers["w"] = WorkerState("w", "life", heard=clock.now())
     win = shard.windows["m"]
     for e in list(win.entries.values()):
         win.acquire(e, "w", clock.now())
@@ -96,7 +96,7 @@
             batch_job.ended = True
         elif meanwhile == "lock":
             for e in win.locked.values():
-                e.until = 0.0
+                e.locked_until = 0.0
         elif meanwhile == "worker":
             lead.store.alive = lambda sid: False
         if meanwhile != "nothing":
--- a/tests/share_group/test_recalls.py
+++ b/tests/share_group/test_recalls.py
@@ -14,7 +14,7 @@
 def leader(elsewhere):
     """A leader of one run, with an item of one lot at a replica that it should leave, and a free place elsewhere."""
     batch_job = SimpleNamespace(job_id="lot1", host="h.example", path="/roll/x")
-    window = SharePartition("m", 1, lock_s=30.0, most_locks=200)
+    window = SharePartition("m", 1, lock_s=30.0, max_locks=200)
     entry = window.append(batch_job, SimpleNamespace(iid="0-0", group="0"), 0)
     window.acquire(entry, "w1", 0.0)
     entry.engine = SimpleNamespace(iid="i-1", zone="z1")
@@ -35,7 +35,7 @@
     broken = []
     return SimpleNamespace(
         store=store,
-        places=SimpleNamespace(room_for=lambda run, routes: len(routes)),
+        slots=SimpleNamespace(free_slots_on=lambda run, routes: len(routes)),
         runs={"llm": run},
         break_off=lambda run, entry, why: broken.append((entry.offset, why)),
         broken=broken,
@@ -49,15 +49,15 @@
 def test_a_leader_that_is_to_hand_its_run_on_recalls_nothing(elsewhere, broken):
     one = leader(elsewhere)
     for _ in range(2):
-        Recalls(one).move_on()
+        Recalls(one).recall_for_moves()
     assert one.broken == broken and one.entry.recalled is bool(broken)
 
 
 def test_what_one_leader_left_running_the_next_one_recalls():
     elsewhere = {"llm"}
     one = leader(elsewhere)
-    Recalls(one).move_on()
+    Recalls(one).recall_for_moves()
     assert not one.broken
     elsewhere.clear()
-    Recalls(one).move_on()
+    Recalls(one).recall_for_moves()
     assert one.broken == [(0, RECALL)]
--- a/tests/share_group/test_run_times.py
+++ b/tests/share_group/test_run_times.py
@@ -64,10 +64,10 @@
 @pytest.mark.parametrize("took, waiting, full, age, short", CASES)
 def test_when_more_replicas_are_wanted(took, waiting, full, age, short):
     it, leadership = leader(took, waiting, full, age)
-    assert it.short(leadership, "m") is short
+    assert it.lacks_replicas(leadership, "m") is short
     if full:
         it.store.engines.all["e0"].running["m"] = 1  # a place is free
-        assert it.short(leadership, "m") is False
+        assert it.lacks_replicas(leadership, "m") is False
 
 
 def test_times_follow_what_is_seen():
--- a/tests/share_group/test_share_group.py
+++ b/tests/share_group/test_share_group.py
@@ -38,7 +38,10 @@
         lambda: (
             running(w) == groups * 2
             and all(
-                len(j.texts) == 2 for s in w.stores.values() for d in s.worker.desks.values() for j in d.jobs.values()
+                len(j.texts) == 2
+                for s in w.stores.values()
+                for d in s.worker.sessions.values()
+                for j in d.entries.values()
             )
         ),
     )
@@ -46,7 +49,7 @@
 
 
 def running(w):
-    return sum(len(d.jobs) for s in w.stores.values() for d in s.worker.desks.values())
+    return sum(len(d.entries) for s in w.stores.values() for d in s.worker.sessions.values())
 
 
 def go_on(w):
@@ -56,7 +59,7 @@
 
 def driver(w):
     """A worker with work in hand, and its place."""
-    return next((i, s) for i, s in w.stores.items() if any(d.jobs for d in s.worker.desks.values()))
+    return next((i, s) for i, s in w.stores.items() if any(d.entries for d in s.worker.sessions.values()))
 
 
 def test_workers_drive_the_replicas_and_the_leader_does_not(run, tmp_path):
@@ -98,11 +101,13 @@
         try:
             lead = await stand_still(w, "lot1")
             shard = next(iter(lead.leader.runs.values()))
-            held = {e.offset: (e.worker, e.deliveries) for win in shard.windows.values() for e in win.locked.values()}
+            held = {
+                e.offset: (e.worker, e.delivery_count) for win in shard.windows.values() for e in win.locked.values()
+            }
             sleepers = {worker for worker, _ in held.values()}
             for win in shard.windows.values():  # their locks ran out while they slept
                 for e in win.locked.values():
-                    e.until = 0.0
+                    e.locked_until = 0.0
             lead.leader.sync()
             go_on(w)
             whole(await w.read_all("lot1"), 4)
@@ -144,7 +149,7 @@
                 w.edge.state_board,
                 "nothing",
                 lambda: any(
-                    e.settling
+                    e.is_acknowledging
                     for r in lead.leader.runs.values()
                     for win in r.windows.values()
                     for e in win.locked.values()
@@ -184,7 +189,7 @@
             assert await w.hand_in("lot1", batch_job()) == 202
             rows = await w.read_all("lot1")
             lead = holder(w)
-            seat = next(iter(lead.leader.runs["llm"].seats.values()))
+            seat = next(iter(lead.leader.runs["llm"].workers.values()))
             good = {
                 "to": lead.id,
                 "worker": seat.worker,
@@ -225,7 +230,7 @@
             leadership, i = old.leaderships["llm"], next(i for i, s in w.stores.items() if s is old)
             other = next(s for s in w.stores.values() if s is not old)
             held = [
-                (e.offset, e.worker, e.deliveries)
+                (e.offset, e.worker, e.delivery_count)
                 for win in old.leader.runs["llm"].windows.values()
                 for e in win.locked.values()
             ]
@@ -301,7 +306,10 @@
             await w.until(w.edge.state_board, "nothing", lambda: running(w) == 0)
             lead = holder(w)
             await w.until(lead.state_board, "work", lambda: all(e.busy() == 0 for e in lead.engines.all.values()))
-            assert all(not win.locked and win.start == win.next for win in lead.leader.runs["llm"].windows.values())
+            assert all(
+                not win.locked and win.start_offset == win.next_offset
+                for win in lead.leader.runs["llm"].windows.values()
+            )
             go_on(w)
             assert await w.hand_in("lot2", batch_job(name="b")) == 202
             whole(await w.read_all("lot2"), 4)
@@ -319,14 +327,14 @@
             lead = await stand_still(w, "lot1")
             for win in lead.leader.runs["llm"].windows.values():
                 for e in win.locked.values():
-                    e.until = 0.0
+                    e.locked_until = 0.0
             lead.leader.sync()
             await w.until(
                 lead.state_board,
                 "work",
                 lambda: (
                     sum(
-                        e.deliveries == 2
+                        e.delivery_count == 2
                         for win in lead.leader.runs["llm"].windows.values()
                         for e in win.locked.values()
                     )
@@ -349,7 +357,7 @@
             await w.kill(w.stores.pop(next(i for i, s in w.stores.items() if s is lead)))
             await w.until(w.edge.state_board, "nothing", lambda: holder(w) is not None and holder(w).leader.runs)
             entries = [e for e in holder(w).leader.runs["llm"].windows["m"].entries.values()]
-            assert len(entries) == 4 and all(e.deliveries >= 1 for e in entries)
+            assert len(entries) == 4 and all(e.delivery_count >= 1 for e in entries)
             go_on(w)
             whole(await w.read_all("lot1"), 4)
         finally:
@@ -372,8 +380,8 @@
                     sum(
                         j.state == "scoring"
                         for s in w.stores.values()
-                        for d in s.worker.desks.values()
-                        for j in d.jobs.values()
+                        for d in s.worker.sessions.values()
+                        for j in d.entries.values()
                     )
                     == 4
                 ),
@@ -382,8 +390,8 @@
             shard = lead.leader.runs["llm"]
             for e in shard.windows["m"].locked.values():
                 lead.leader.break_off(shard, e, "recall")
-            lead.leader._wake()
-            await w.until(lead.state_board, "nothing", lambda: not any(s.drop for s in shard.seats.values()))
+            lead.leader.notify_workers()
+            await w.until(lead.state_board, "nothing", lambda: not any(s.cancellations for s in shard.workers.values()))
             w.replicas[2].mood.clear()
             whole(await w.read_all("lot1"), 4)
             assert lead.counters.all["share.release"] == 0 and lead.counters.all["share.acquired"] == 4
--- a/tests/share_group/test_window.py
+++ b/tests/share_group/test_window.py
@@ -5,14 +5,14 @@
 import pytest
 
 from archhatch.share_group import InvalidTransitionError, JobQueue, EntryState, SharePartition, WindowJournal
-from archhatch.share_group.window_journal import EVERY, batches
-from archhatch.share_group.window import TABLE
+from archhatch.share_group.window_journal import UPDATES_PER_SNAPSHOT, state_batches
+from archhatch.share_group.window import TRANSITIONS
 from archhatch.runtime import Counters
 from archhatch.jobs import Record, RecordStore
 
 
 def window(n=5, locks=200):
-    w = SharePartition("m", 3, lock_s=30.0, most_locks=locks)
+    w = SharePartition("m", 3, lock_s=30.0, max_locks=locks)
     return w, [w.append(None, None, 0) for _ in range(n)]
 
 
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("state, trigger, after", MOVES)
 def test_moves(state, trigger, after):
-    assert TABLE.get((EntryState[state], trigger)) == (EntryState[after] if after else None)
+    assert TRANSITIONS.get((EntryState[state], trigger)) == (EntryState[after] if after else None)
 
 
 SETTLEMENTS = [  # who settles, with which delivery, at which offset, whether it counts
@@ -59,11 +59,11 @@
     w, es = window()
     w.acquire(es[0], "w1", 0.0)
     if counts:
-        assert w.settle(offset, worker, delivery, kind) is es[0]
+        assert w.acknowledge(offset, worker, delivery, kind) is es[0]
     else:
         with pytest.raises(InvalidTransitionError):
-            w.settle(offset, worker, delivery, kind)
-        assert es[0].state is EntryState.ACQUIRED and w.room() == 199
+            w.acknowledge(offset, worker, delivery, kind)
+        assert es[0].state is EntryState.ACQUIRED and w.free_locks() == 199
 
 
 @pytest.mark.parametrize(
@@ -73,8 +73,8 @@
     w, es = window()
     for n in final:
         w.acquire(es[n], "w", 0.0)
-        w.settle(n, "w", 1, "accept" if n % 2 else "reject")
-    assert w.start == start and w.end >= max(final) + 1
+        w.acknowledge(n, "w", 1, "accept" if n % 2 else "reject")
+    assert w.start_offset == start and w.end_offset >= max(final) + 1
 
 
 @pytest.mark.parametrize("now, out", [(0.0, []), (29.9, []), (30.0, [0]), (34.9, [0]), (35.0, [0, 1])])
@@ -83,20 +83,20 @@
     w.acquire(es[0], "w", 0.0)
     w.acquire(es[1], "w", 5.0)
     w.acquire(es[2], "w", 5.0)
-    es[2].settling = True  # a settlement on its way to the disks keeps its lock
+    es[2].is_acknowledging = True  # a settlement on its way to the disks keeps its lock
     assert [e.offset for e in w.expired(now)] == out
 
 
 def test_a_lock_that_ran_out_is_presented_again_and_the_late_settlement_refused():
     w, es = window()
     w.acquire(es[0], "w1", 0.0)
-    w.give_up(es[0])
+    w.release_lock(es[0])
     with pytest.raises(InvalidTransitionError):
-        w.settle(0, "w1", 1, "accept")
+        w.acknowledge(0, "w1", 1, "accept")
     w.acquire(es[0], "w1", 40.0)  # even by the same worker: another acquisition
     with pytest.raises(InvalidTransitionError):
-        w.settle(0, "w1", 1, "accept")
-    assert es[0].deliveries == 2 and w.settle(0, "w1", 2, "accept").state is EntryState.ACKNOWLEDGED
+        w.acknowledge(0, "w1", 1, "accept")
+    assert es[0].delivery_count == 2 and w.acknowledge(0, "w1", 2, "accept").state is EntryState.ACKNOWLEDGED
 
 
 def test_locks_are_capped():
@@ -105,18 +105,18 @@
     w.acquire(es[1], "w", 0.0)
     with pytest.raises(InvalidTransitionError):
         w.acquire(es[2], "w", 0.0)
-    assert es[2].state is EntryState.AVAILABLE and es[2].deliveries == 0
-    w.settle(0, "w", 1, "release")
+    assert es[2].state is EntryState.AVAILABLE and es[2].delivery_count == 0
+    w.acknowledge(0, "w", 1, "release")
     w.acquire(es[2], "w", 0.0)
-    assert w.room() == 0
+    assert w.free_locks() == 0
 
 
 def test_no_number_of_deliveries_ends_an_entry():
     w, es = window(1)
     for n in range(1, 200):
         w.acquire(es[0], "w", float(n))
-        w.settle(0, "w", n, "release")
-    assert es[0].state is EntryState.AVAILABLE and es[0].deliveries == 199
+        w.acknowledge(0, "w", n, "release")
+    assert es[0].state is EntryState.AVAILABLE and es[0].delivery_count == 199
 
 
 # -- state on disk
@@ -133,7 +133,7 @@
     ],
 )
 def test_batches(marks, want):
-    assert batches(marks) == want
+    assert state_batches(marks) == want
 
 
 def history(n=40):
@@ -142,8 +142,8 @@
     j, records = WindowJournal("run", "m"), []
     for e in es:
         w.acquire(e, "w", 0.0)
-        w.settle(e.offset, "w", 1, "release" if e.offset % 3 else "accept")
-        record = j.next(w)
+        w.acknowledge(e.offset, "w", 1, "release" if e.offset % 3 else "accept")
+        record = j.next_record(w)
         if record is not None:
             records.append(record)
     return w, records
@@ -161,8 +161,8 @@
     assert [r.head["k"] for r in records[:2]] == ["S", "U"] and sum(r.head["k"] == "S" for r in records) == 2
     for order in (records, records[::-1], records + records):  # doubles and any order, as stores tell them
         w, j = restored(order)
-        assert (w.start, w.next, j.snapshot_epoch) == (old.start, old.next, 2)
-        assert {o: c for o, c in w.counts.items() if o in old.entries} == {o: 1 for o in old.entries}
+        assert (w.start_offset, w.next_offset, j.snapshot_epoch) == (old.start_offset, old.next_offset, 2)
+        assert {o: c for o, c in w.restored_counts.items() if o in old.entries} == {o: 1 for o in old.entries}
 
 
 DAMAGE = [  # which records are spoilt or missing, how many deltas are still applied, what is counted
@@ -184,12 +184,14 @@
     _, records = history(7)
     counters = Counters()
     w, _ = restored(harm(records), counters)
-    assert len([k for k in w.counts]) <= 7 and (counted is None or counters.all[counted] == 1)
+    assert len([k for k in w.restored_counts]) <= 7 and (counted is None or counters.all[counted] == 1)
     assert sum(1 for c in counters.all.values()) == (1 if counted else 0)
     base = 1 if any(r.head["k"] == "S" for r in records) and counted != "share.snapshot_damaged" else 0
     known = {o for o in range(7)} if deltas == 6 else {o for o in range(deltas + base)}
     if deltas:
-        assert set(w.counts) <= known and max(w.counts) == max(o for o in known if o % 3 or o == max(known))
+        assert set(w.restored_counts) <= known and max(w.restored_counts) == max(
+            o for o in known if o % 3 or o == max(known)
+        )
 
 
 class MemBook:
@@ -252,13 +254,13 @@
 
 
 def test_every_so_many_deltas_a_snapshot():
-    w, es = window(3 * EVERY)
+    w, es = window(3 * UPDATES_PER_SNAPSHOT)
     j, kinds = WindowJournal("run", "m"), []
     for e in es:
         w.acquire(e, "w", 0.0)
-        w.settle(e.offset, "w", 1, "release")
-        kinds.append(j.next(w).head["k"])
-    assert kinds[0] == "S" and kinds[1 : EVERY + 2] == ["U"] * EVERY + ["S"]
+        w.acknowledge(e.offset, "w", 1, "release")
+        kinds.append(j.next_record(w).head["k"])
+    assert kinds[0] == "S" and kinds[1 : UPDATES_PER_SNAPSHOT + 2] == ["U"] * UPDATES_PER_SNAPSHOT + ["S"]
 
 
 # -- the queue of a lot
@@ -326,12 +328,12 @@
             e = q.take(rng.choice("abc"), rng.random() < 0.5, now)
             if e is not None:
                 w.acquire(e, rng.choice("xyz"), now)
-                held.append((e, e.worker, e.deliveries))
+                held.append((e, e.worker, e.delivery_count))
         elif what in ("accept", "release") and held:
             e, worker, delivery = held.pop(rng.randrange(len(held)))
-            fresh = e.state is EntryState.ACQUIRED and (e.worker, e.deliveries) == (worker, delivery)
+            fresh = e.state is EntryState.ACQUIRED and (e.worker, e.delivery_count) == (worker, delivery)
             try:
-                w.settle(e.offset, worker, delivery, what)
+                w.acknowledge(e.offset, worker, delivery, what)
                 assert fresh
                 if what == "accept":
                     assert e.offset not in done
@@ -343,13 +345,13 @@
                 assert not fresh
         elif what == "expire":
             for e in w.expired(now):
-                w.give_up(e)
+                w.release_lock(e)
                 q.put(e, front=True)
-        elif what == "write" and (record := j.next(w)) is not None:
+        elif what == "write" and (record := j.next_record(w)) is not None:
             records.append(record)
         waiting = sum(len(r) for r in q.groups.values()) + len(q.later)
         assert waiting + len(w.locked) + len(done) == 30 and sum(q.waiting) == waiting - len(q.later)
-        assert all(o in done for o in range(w.start)) and w.start not in done
-    last = j.next(w)
+        assert all(o in done for o in range(w.start_offset)) and w.start_offset not in done
+    last = j.next_record(w)
     back, _ = restored(records + ([last] if last else []))
-    assert back.start == w.start and back.next == 30
+    assert back.start_offset == w.start_offset and back.next_offset == 30
