--- a/archhatch/control/config_commands.py
+++ b/archhatch/control/config_commands.py
@@ -1,102 +1,135 @@
-"""Commands on the configuration. A change is known by its number, its content and the version that it builds on.
+"""Commands on the configuration.
 
-What was acknowledged stays acknowledged for whoever sends it again, and what was refused can never come into force
-through a copy that is still on its way:
+A change is identified by its revision, its content and the version that it builds on. What was acknowledged stays
+acknowledged for whoever sends it again, and what was refused can never come into force through a copy that is still on
+its way:
 
-- A change in force leaves its mark under its number. The marks of the last KEEP_TAKEN changes are kept; a number at or
-  below the highest one that was dropped since gets no clear answer, as nobody can tell any more.
-- A change whose `If-Match` lies below the current version can never be taken, as versions only rise.
-- A change whose `If-Match` lies above the current version could be taken later, by a copy that is still on its way,
+- A change in force leaves its digest under its revision. The digests of the last MAX_APPLIED_DIGESTS changes are kept;
+  a revision at or below the highest one that was dropped since gets no clear answer, as nobody can tell any more.
+- A change whose `If-Match` lies below the current version can never be applied, as versions only rise.
+- A change whose `If-Match` lies above the current version could be applied later, by a copy that is still on its way,
   if that version comes. Its refusal is therefore written into the register, until the versions have passed it.
 """
 
 from __future__ import annotations
 
 import hashlib
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
 
 import orjson
 
 from ..consensus import Commands
 from ..routing.patch import merge
 from ..routing.schemas import InvalidConfigError, check_config
+from ..runtime.message import Message, wire
+from .register_values import RegisterValue, config_revision
+from .result_codes import DONE, INVALID_CONFIG, NO_CONFIG, REVISION_NOT_HIGHER, UNCERTAIN, VERSION_MISMATCH
 
-DONE, INVALID, NOT_HIGHER, OTHER_VERSION, NO_PLAN, UNSURE = 1000, 2002, 2005, 2011, 3001, 3004
-KEEP_TAKEN = 1024  # changes whose mark is kept
-KEEP_REFUSED = 64  # refusals that wait for the versions to pass them; beyond that there is no clear answer
+MAX_APPLIED_DIGESTS = 1024  # applied changes whose digest is kept
+MAX_AHEAD_REFUSALS = 64  # refusals that wait for the versions to pass them; beyond that there is no clear answer
+DIGEST_BYTES = 8
 
 commands = Commands()
 
 
-def digest(kind: str, doc: object, match: int) -> str:
-    """The mark of a change: its kind, its content and what it builds on.
+@dataclass(frozen=True, slots=True)
+class ConfigChange(Message):
+    """The arguments of a change of the configuration.
+
+    Attributes:
+        document: The whole configuration, or the named items to change.
+        expected_revision: The revision that the change builds on, from `If-Match`.
+    """
+
+    document: Any = wire("doc")
+    expected_revision: int = wire("match")
+
+
+def digest(kind: str, document: object, expected_revision: int) -> str:
+    """Returns what identifies a change: its kind, its content and what it builds on.
 
     >>> digest("put", {"b": 1, "a": 2}, 3) == digest("put", {"a": 2, "b": 1}, 3) != digest("put", {"a": 2, "b": 1}, 4)
     True
     """
-    raw = orjson.dumps([kind, doc, match], option=orjson.OPT_SORT_KEYS)
-    return hashlib.blake2b(raw, digest_size=8).hexdigest()
-
-
-def _take(value: dict, kind: str, args: dict, build):
-    now = value.get("plan", {}).get("Revision", 0)
-    number, match = args["doc"]["Revision"], args["match"]
-    mark = digest(kind, args["doc"], match)
-    taken = value.get("taken", {}).get(str(number))
-    if taken == mark:
-        return DONE, {"Revision": now}, False
-    if taken is None and number <= value.get("taken_floor", 0):
-        return UNSURE, {"Revision": now}, False
-    if match > now:
-        return _refuse_ahead(value, mark, match, now)
-    if match < now or mark in value.get("refused", {}):
-        return OTHER_VERSION, {"Revision": now}, False
+    raw = orjson.dumps([kind, document, expected_revision], option=orjson.OPT_SORT_KEYS)
+    return hashlib.blake2b(raw, digest_size=DIGEST_BYTES).hexdigest()
+
+
+def _apply(value: RegisterValue, kind: str, change: ConfigChange, build: Callable[[], Any]) -> tuple:
+    """Applies a change unless it was applied or refused before, or builds on another version."""
+    current = config_revision(value)
+    answer = {"Revision": current}
+    revision = change.document["Revision"]
+    expected = change.expected_revision
+    change_digest = digest(kind, change.document, expected)
+
+    applied_digest = value.get("taken", {}).get(str(revision))
+    if applied_digest == change_digest:
+        return DONE, answer, False
+    if applied_digest is None and revision <= value.get("taken_floor", 0):
+        return UNCERTAIN, answer, False
+    if expected > current:
+        return _refuse_ahead(value, change_digest, expected, current)
+    if expected < current or change_digest in value.get("refused", {}):
+        return VERSION_MISMATCH, answer, False
+    return _put_in_force(value, change_digest, revision, build)
+
+
+def _put_in_force(value: RegisterValue, change_digest: str, revision: int, build: Callable[[], Any]) -> tuple:
+    current = config_revision(value)
     try:
-        doc = check_config(build())
-    except InvalidConfigError as e:
-        return INVALID, str(e), False
-    if doc["Revision"] <= now:
-        return NOT_HIGHER, {"Revision": now}, False
-    value["plan"] = doc
-    _remember(value, number, mark)
-    return DONE, {"Revision": number}, True
-
-
-def _refuse_ahead(value: dict, mark: str, match: int, now: int):
-    """Refuse a change that builds on a version which may still come, so that no copy of it is ever taken."""
+        config = check_config(build())
+    except InvalidConfigError as error:
+        return INVALID_CONFIG, str(error), False
+    if config["Revision"] <= current:
+        return REVISION_NOT_HIGHER, {"Revision": current}, False
+    value["plan"] = config
+    _remember_applied(value, revision, change_digest)
+    return DONE, {"Revision": revision}, True
+
+
+def _refuse_ahead(value: RegisterValue, change_digest: str, expected: int, current: int) -> tuple:
+    """Refuses a change that builds on a version which may still come, so that no copy of it is ever applied."""
     refused = value.setdefault("refused", {})
-    if mark in refused:
-        return OTHER_VERSION, {"Revision": now}, False
-    if len(refused) >= KEEP_REFUSED:
-        return UNSURE, {"Revision": now}, False
-    refused[mark] = match
-    return OTHER_VERSION, {"Revision": now}, True
-
-
-def _remember(value: dict, number: int, mark: str) -> None:
-    """Keep the mark of a change that came into force; drop what no copy can bring back."""
-    taken = value.setdefault("taken", {})
-    taken[str(number)] = mark
-    while len(taken) > KEEP_TAKEN:
-        oldest = next(iter(taken))
-        del taken[oldest]
+    if change_digest in refused:
+        return VERSION_MISMATCH, {"Revision": current}, False
+    if len(refused) >= MAX_AHEAD_REFUSALS:
+        return UNCERTAIN, {"Revision": current}, False
+    refused[change_digest] = expected
+    return VERSION_MISMATCH, {"Revision": current}, True
+
+
+def _remember_applied(value: RegisterValue, revision: int, change_digest: str) -> None:
+    """Keeps the digest of a change that came into force; drops the refusals that no copy can bring back."""
+    applied = value.setdefault("taken", {})
+    applied[str(revision)] = change_digest
+    while len(applied) > MAX_APPLIED_DIGESTS:
+        oldest = next(iter(applied))
+        del applied[oldest]
         value["taken_floor"] = int(oldest)
     if "refused" in value:
-        value["refused"] = {m: match for m, match in value["refused"].items() if match >= number}
+        value["refused"] = {
+            refused: expected for refused, expected in value["refused"].items() if expected >= revision
+        }
 
 
 @commands.on("plan.put")
-def plan_put(value, args):
-    """A whole configuration: {"doc": ..., "match": 5}."""
-    return _take(value, "put", args, lambda: args["doc"])
+def plan_put(value: RegisterValue, args: dict) -> tuple:
+    """Replaces the whole configuration: {"doc": ..., "match": 5}."""
+    change = ConfigChange.from_document(args)
+    return _apply(value, "put", change, lambda: change.document)
 
 
 @commands.on("plan.patch")
-def plan_patch(value, args):
-    """Named items: {"doc": {"Revision": 9, "Upsert": ...}, "match": 7}."""
-    return _take(value, "patch", args, lambda: merge(value.get("plan", {}), args["doc"]))
+def plan_patch(value: RegisterValue, args: dict) -> tuple:
+    """Changes named items: {"doc": {"Revision": 9, "Upsert": ...}, "match": 7}."""
+    change = ConfigChange.from_document(args)
+    return _apply(value, "patch", change, lambda: merge(value.get("plan", {}), change.document))
 
 
 @commands.on("plan.get")
-def plan_get(value, args):
-    """The configuration in force, sure to be the newest."""
-    return (DONE, value["plan"], False) if "plan" in value else (NO_PLAN, None, False)
+def plan_get(value: RegisterValue, _args: dict) -> tuple:
+    """Reads the configuration in force; a majority confirms that it is the newest."""
+    return (DONE, value["plan"], False) if "plan" in value else (NO_CONFIG, None, False)
--- a/archhatch/control/store_commands.py
+++ b/archhatch/control/store_commands.py
@@ -1,248 +1,375 @@
-"""Commands on the membership of the stores, the runs' leases and the emptying of machines.
+"""Commands on the membership of the stores, the runs' leases and the retirement of machines.
 
 The `plan` register holds the stores and, for each run, the highest leadership term that has begun (`runs`); the lease
-itself (holder, life, term) stands in one of the other registers, by the run's name.  A term begins by `run.begin`: from
-then on no older holder's `store.clear` counts, so a leaving store stays a member until the current holder of every run
-has said that its copies are not needed.
+itself stands in one of the other registers, by the run's name. A term begins by `run.begin`: from then on no older
+holder's `store.clear` counts, so a leaving store stays a member until the current holder of every run has declared that
+its copies are not needed.
 """
 
 from __future__ import annotations
 
-from ..jobs import Quorum, active
-from ..consensus import Commands
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import Any
 
-KEEP_DROPPED = 64  # ids of dropped stores that are remembered
-KEEP_REFUSED = 64  # machines whose refused retirement is remembered by name
+from ..consensus import Commands
+from ..jobs import Quorum, active
+from ..runtime.message import Message, wire
+from .leases import LeaseClaim, claim_lease
+from .register_values import (
+    ACTIVE,
+    LEAVING,
+    NOT_BEGUN,
+    RegisterValue,
+    StoreRecord,
+    begun_term,
+    dropped_stores_of,
+    retirements_of,
+    run_leases_of,
+    runs_of,
+    stores_of,
+    voter_groups_of,
+)
+from .result_codes import (
+    DONE,
+    STALE_TERM_OR_MEMBERSHIP,
+    TOO_FEW_MACHINES_LEFT,
+    UNCERTAIN,
+    UNKNOWN_MACHINE,
+)
+
+MAX_DROPPED_IDS = 64  # ids of dropped stores that are remembered
+MAX_RETIREMENT_REFUSALS = 64  # machines whose refused retirement is remembered by name
 NEVER = -1  # below every version of a register
-NOT_BEGUN = 0  # an opened run whose first term has not begun
-ACTIVE, LEAVING = "active", "leaving"
+RETIREMENT_ACTIVE, RETIREMENT_COMPLETE = "active", "complete"
 
 commands = Commands()
 
 
-@commands.on("store.list")
-def store_list(value, args):
-    """The stores and the runs, sure to be the newest."""
-    return 1000, {"stores": value.get("stores", {}), "runs": value.get("runs", {})}, False
+@dataclass(frozen=True, slots=True)
+class StoreJoin(Message):
+    """A store with a disk of its own asks to become a member."""
 
+    store_id: str = wire("id")
+    machine: str = wire("name")
+    ip_address: str = wire("ip")
+    zone: str = wire("zone")
 
-@commands.on("store.join")
-def store_join(value, args):
-    """A store with a disk of its own: {"id", "name", "ip", "zone"}. One that stood at its place before is to leave."""
-    stores = value.setdefault("stores", {})
-    if args["id"] in stores:
-        return 1000, None, False
-    if args["id"] in value.get("dropped", {}) or args["name"] in value.get("retired", {}):
-        return 2008, "dropped", False
-    for sid, store in list(stores.items()):
-        if store["name"] == args["name"] or store["ip"] == args["ip"]:
-            store["state"] = LEAVING
-            _drop_cleared(value, sid)
-    value["count"] = value.get("count", 0) + 1
-    stores[args["id"]] = {
-        "name": args["name"],
-        "ip": args["ip"],
-        "zone": args["zone"],
-        "state": ACTIVE,
-        "no": value["count"],
-        "clear": {},
-    }
-    return 1000, None, True
 
+@dataclass(frozen=True, slots=True)
+class StoreLeave(Message):
+    """A store is to leave.
+
+    Attributes:
+        store_id: The store.
+        quorum: The tolerated losses; they come with the command, because all nodes must decide alike whatever settings
+            they were started with.
+    """
 
-def _spares(value: dict, sid: str, args: dict) -> bool:
-    """Whether enough active stores stay without one. What is tolerated comes with the command: all nodes must make the
-    same of it, whatever settings they started with."""
-    left = {other: store for other, store in active(value.get("stores", {})).items() if other != sid}
-    return Quorum.read(args.get("quorum")).spares(left)
+    store_id: str = wire("id")
+    quorum: dict | None = wire("quorum", default=None)
 
 
-def begun_term(value: dict, run: str) -> int:
-    """The highest term of a run that has begun. Registers written before terms were noted hold other marks.
+@dataclass(frozen=True, slots=True)
+class StoreClear(Message):
+    """A run's lease holder declares that a leaving store is not needed for the run.
 
-    >>> value = {"runs": {"a": 3, "b": "old"}}
-    >>> begun_term(value, "a"), begun_term(value, "b"), begun_term({}, "a")
-    (3, 0, 0)
+    Attributes:
+        store_id: The leaving store.
+        run_id: The run.
+        term: The term of the run's lease.
+        counted_stores: The stores on which the holder has counted copies instead.
     """
-    term = value.get("runs", {}).get(run)
-    return term if isinstance(term, int) else NOT_BEGUN
+
+    store_id: str = wire("id")
+    run_id: str = wire("run")
+    term: int = wire("term")
+    counted_stores: Sequence[str] = wire("counted", default=())
+
+
+@dataclass(frozen=True, slots=True)
+class RunBegin(Message):
+    """A leadership term of a run begins."""
+
+    run_id: str = wire("run")
+    term: int = wire("term")
 
 
-def cleared(value: dict, store: dict) -> bool:
-    """Whether the current holder of every run has said that a store is not needed.
+@dataclass(frozen=True, slots=True)
+class RetirementOrder(Message):
+    """An operator wants a machine emptied.
 
-    >>> cleared({"runs": {"a": 2}}, {"clear": {"a": 1}}), cleared({"runs": {"a": 2}}, {"clear": {"a": 2}})
+    Attributes:
+        machine: The machine's name.
+        quorum: The tolerated losses.
+        seen_version: The register's version that the receiver of the operator's call held; identifies copies of an
+            order that was refused. None if the sender gave none.
+        current_version: The register's version when the command runs.
+    """
+
+    machine: str = wire("node")
+    quorum: dict | None = wire("quorum", default=None)
+    seen_version: int | None = wire("seen", default=None)
+    current_version: int = wire("at_version", default=0)
+
+
+@dataclass(frozen=True, slots=True)
+class VoterGroupChange(Message):
+    """New voters of a register of the stores, written under the version that the register has with them."""
+
+    register: str = wire("key")
+    voters: dict[str, str] = wire("voters")
+    version: int = wire("stamp")
+
+
+# -- decisions
+
+
+def _enough_stay(value: RegisterValue, leaving_id: str, quorum: dict | None) -> bool:
+    """Returns whether enough active stores stay without one."""
+    staying = {store_id: store for store_id, store in active(stores_of(value)).items() if store_id != leaving_id}
+    return Quorum.read(quorum).spares(staying)
+
+
+def is_cleared(value: RegisterValue, store: StoreRecord) -> bool:
+    """Returns whether the current holder of every run has declared that a store is not needed.
+
+    >>> is_cleared({"runs": {"a": 2}}, {"clear": {"a": 1}}), is_cleared({"runs": {"a": 2}}, {"clear": {"a": 2}})
     (False, True)
     """
-    return all(run in store["clear"] and store["clear"][run] >= begun_term(value, run) for run in value.get("runs", {}))
+    cleared_terms = store["clear"]
+    return all(
+        run_id in cleared_terms and cleared_terms[run_id] >= begun_term(value, run_id) for run_id in runs_of(value)
+    )
 
 
-def votes(value: dict, sid: str) -> bool:
-    """Whether a store votes in the newest group that was written down of any ledger register.
+def is_voter(value: RegisterValue, store_id: str) -> bool:
+    """Returns whether a store votes in the newest known group of any register of the stores.
 
-    >>> votes({"ledger": {"n": {"voters": {"a": "1:1"}, "stamp": 3}}}, "a"), votes({}, "a")
+    >>> is_voter({"ledger": {"n": {"voters": {"a": "1:1"}, "stamp": 3}}}, "a"), is_voter({}, "a")
     (True, False)
     """
-    return any(sid in group["voters"] for group in value.get("ledger", {}).values())
+    return any(store_id in group["voters"] for group in voter_groups_of(value).values())
+
 
+def _is_copy_of_refused(value: RegisterValue, order: RetirementOrder) -> bool:
+    """Returns whether an order may be a copy of one that was refused after it was sent."""
+    if order.seen_version is None:
+        return False
+    refused_at = max(value.get("retire_refused", {}).get(order.machine, NEVER), value.get("retire_floor", NEVER))
+    return order.seen_version <= refused_at
 
-def _drop_cleared(value: dict, sid: str) -> None:
-    """End the membership of a leaving store that nobody needs; only then is its retirement complete."""
-    store = value["stores"][sid]
-    if store["state"] != LEAVING or not cleared(value, store) or votes(value, sid):
+
+# -- membership
+
+
+@commands.on("store.list")
+def store_list(value: RegisterValue, _args: dict) -> tuple:
+    """Reads the stores and the runs; a majority confirms that they are the newest."""
+    return DONE, {"stores": stores_of(value), "runs": runs_of(value)}, False
+
+
+@commands.on("store.join")
+def store_join(value: RegisterValue, args: dict) -> tuple:
+    """Adds a store: {"id", "name", "ip", "zone"}. A store that stood at its place before is to leave."""
+    join = StoreJoin.from_document(args)
+    stores = value.setdefault("stores", {})
+    if join.store_id in stores:
+        return DONE, None, False
+    if join.store_id in dropped_stores_of(value) or join.machine in retirements_of(value):
+        return UNKNOWN_MACHINE, "dropped", False
+    for store_id, store in list(stores.items()):
+        if store["name"] == join.machine or store["ip"] == join.ip_address:
+            store["state"] = LEAVING
+            _drop_if_cleared(value, store_id)
+    value["count"] = value.get("count", 0) + 1
+    stores[join.store_id] = _new_record(join, value["count"])
+    return DONE, None, True
+
+
+def _new_record(join: StoreJoin, number: int) -> StoreRecord:
+    return {
+        "name": join.machine,
+        "ip": join.ip_address,
+        "zone": join.zone,
+        "state": ACTIVE,
+        "no": number,
+        "clear": {},
+    }
+
+
+def _drop_if_cleared(value: RegisterValue, store_id: str) -> None:
+    """Ends the membership of a leaving store that nobody needs; only then is its retirement complete."""
+    store = value["stores"][store_id]
+    if store["state"] != LEAVING or not is_cleared(value, store) or is_voter(value, store_id):
         return
-    del value["stores"][sid]
+    del value["stores"][store_id]
     dropped = value.setdefault("dropped", {})
-    dropped[sid] = 1
-    while len(dropped) > KEEP_DROPPED:
+    dropped[store_id] = 1
+    while len(dropped) > MAX_DROPPED_IDS:
         del dropped[next(iter(dropped))]
     if store.get("retire"):
-        value.setdefault("retired", {})[store["name"]] = "complete"
+        value.setdefault("retired", {})[store["name"]] = RETIREMENT_COMPLETE
 
 
 @commands.on("store.leave")
-def store_leave(value, args):
-    """A store is to hold nothing any more: {"id", "quorum"}."""
-    store = value.get("stores", {}).get(args["id"])
+def store_leave(value: RegisterValue, args: dict) -> tuple:
+    """Marks a store as leaving: {"id", "quorum"}."""
+    leave = StoreLeave.from_document(args)
+    store = stores_of(value).get(leave.store_id)
     if store is None or store["state"] == LEAVING:
-        return 1000, None, False
-    if not _spares(value, args["id"], args):
-        return 2013, None, False
+        return DONE, None, False
+    if not _enough_stay(value, leave.store_id, leave.quorum):
+        return TOO_FEW_MACHINES_LEFT, None, False
     store["state"] = LEAVING
-    _drop_cleared(value, args["id"])
-    return 1000, None, True
+    _drop_if_cleared(value, leave.store_id)
+    return DONE, None, True
 
 
 @commands.on("store.clear")
-def store_clear(value, args):
-    """A run's holder says that a leaving store is not needed for it: {"id", "run", "term", "counted"}.
+def store_clear(value: RegisterValue, args: dict) -> tuple:
+    """Notes that a run does not need a leaving store: {"id", "run", "term", "counted"}.
 
-    `counted` names the stores on which the holder counted copies instead. 2018 if a newer term of the run has begun, or
-    if one of the counted stores is to leave by now: the holder judged by an older membership.
+    STALE_TERM_OR_MEMBERSHIP if a newer term of the run has begun, or if one of the counted stores is to leave by now:
+    the holder judged by an older membership.
     """
-    stores = value.get("stores", {})
-    store = stores.get(args["id"])
+    clear = StoreClear.from_document(args)
+    stores = stores_of(value)
+    store = stores.get(clear.store_id)
     if store is None or store["state"] != LEAVING:
-        return 1000, None, False
-    if args["term"] < begun_term(value, args["run"]):
-        return 2018, begun_term(value, args["run"]), False
-    if any(other not in stores or stores[other]["state"] != ACTIVE for other in args.get("counted", ())):
-        return 2018, "membership", False
-    if store["clear"].get(args["run"], NOT_BEGUN) >= args["term"]:
-        return 1000, None, False
-    store["clear"][args["run"]] = args["term"]
-    _drop_cleared(value, args["id"])
-    return 1000, None, True
+        return DONE, None, False
+    current_term = begun_term(value, clear.run_id)
+    if clear.term < current_term:
+        return STALE_TERM_OR_MEMBERSHIP, current_term, False
+    if any(other not in stores or stores[other]["state"] != ACTIVE for other in clear.counted_stores):
+        return STALE_TERM_OR_MEMBERSHIP, "membership", False
+    if store["clear"].get(clear.run_id, NOT_BEGUN) >= clear.term:
+        return DONE, None, False
+    store["clear"][clear.run_id] = clear.term
+    _drop_if_cleared(value, clear.store_id)
+    return DONE, None, True
+
+
+# -- runs
 
 
 @commands.on("run.open")
-def run_open(value, args):
-    """The runs of a service are to have leases from now on: {"run"}, the service's name."""
+def run_open(value: RegisterValue, args: dict) -> tuple:
+    """Opens the runs of a service, which have leases from now on: {"run"}, the service's name."""
+    run_id = args["run"]
     runs = value.setdefault("runs", {})
-    if args["run"] in runs:
-        return 1000, None, False
-    runs[args["run"]] = NOT_BEGUN
-    for store in value.get("stores", {}).values():
-        store["clear"].pop(args["run"], None)
-    return 1000, None, True
+    if run_id in runs:
+        return DONE, None, False
+    runs[run_id] = NOT_BEGUN
+    for store in stores_of(value).values():
+        store["clear"].pop(run_id, None)
+    return DONE, None, True
 
 
 @commands.on("run.begin")
-def run_begin(value, args):
-    """A leadership term begins: {"run", "term"}. Tells the stores to gather from; clears of older terms end to count.
+def run_begin(value: RegisterValue, args: dict) -> tuple:
+    """Begins a leadership term: {"run", "term"}; from now on declarations of older terms do not count.
 
-    2018 if a higher term has begun already.
+    The answer names the stores whose records the new leader is to read. STALE_TERM_OR_MEMBERSHIP if a higher term has
+    begun already.
     """
+    begin = RunBegin.from_document(args)
     runs = value.setdefault("runs", {})
-    before = begun_term(value, args["run"])
-    if args["term"] < before:
-        return 2018, before, False
-    did = runs.get(args["run"]) != args["term"]
-    runs[args["run"]] = args["term"]
-    return 1000, {"stores": value.get("stores", {}), "runs": runs}, did
+    previous_term = begun_term(value, begin.run_id)
+    if begin.term < previous_term:
+        return STALE_TERM_OR_MEMBERSHIP, previous_term, False
+    has_changed = runs.get(begin.run_id) != begin.term
+    runs[begin.run_id] = begin.term
+    return DONE, {"stores": stores_of(value), "runs": runs}, has_changed
 
 
-def _refuse_retirement(value: dict, args: dict, code: int):
-    """Refuse to empty a machine for good: copies of the order that set out before this refusal are not carried out.
+@commands.on("tenure.claim")
+def tenure_claim(value: RegisterValue, args: dict) -> tuple:
+    """Claims a run's lease: {"run", "holder", "life", "seen"}."""
+    return claim_lease(value.setdefault("tenures", {}), args["run"], LeaseClaim.from_document(args))
 
-    A copy is known by `seen`, the version of the register that its receiver held when the operator's call came in.
-    """
-    refused = value.setdefault("retire_refused", {})
-    refused.pop(args["node"], None)
-    refused[args["node"]] = args.get("at_version", 0)
-    while len(refused) > KEEP_REFUSED:
-        value["retire_floor"] = refused.pop(next(iter(refused)))
-    return code, None, True
+
+@commands.on("tenure.list")
+def tenure_list(value: RegisterValue, _args: dict) -> tuple:
+    """Reads all runs' leases of the register; a majority confirms that they are the newest."""
+    return DONE, run_leases_of(value), False
 
 
-def _refused_before(value: dict, args: dict) -> bool:
-    """Whether an order may be a copy of one that was refused since it set out."""
-    since = max(value.get("retire_refused", {}).get(args["node"], NEVER), value.get("retire_floor", NEVER))
-    return args.get("seen", since + 1) <= since
+# -- retirement of machines
 
 
 @commands.on("retire.start")
-def retire_start(value, args):
-    """The operator wants a machine emptied: {"node", "quorum", "seen"}."""
-    if args["node"] in value.get("retired", {}):
-        return 1000, {"OperState": value["retired"][args["node"]]}, False
-    for sid, store in value.get("stores", {}).items():
-        if store["name"] == args["node"] and store["state"] == ACTIVE:
-            if not _spares(value, sid, args):
-                return _refuse_retirement(value, args, 2013)
-            if _refused_before(value, args):
-                return 3004, None, False
-            store["state"], store["retire"] = LEAVING, True
-            _drop_cleared(value, sid)
-            return 1000, {"OperState": "active"}, True
-    for store in value.get("stores", {}).values():
-        if store["name"] == args["node"]:
-            did = not store.get("retire")
+def retire_start(value: RegisterValue, args: dict) -> tuple:
+    """Begins to empty a machine for good: {"node", "quorum", "seen"}."""
+    order = RetirementOrder.from_document(args)
+    if order.machine in retirements_of(value):
+        return DONE, _retirement(retirements_of(value)[order.machine]), False
+    for store_id, store in stores_of(value).items():
+        if store["name"] == order.machine and store["state"] == ACTIVE:
+            return _retire_store(value, store_id, order)
+    for store in stores_of(value).values():
+        if store["name"] == order.machine:
+            has_changed = not store.get("retire")
             store["retire"] = True
-            return 1000, {"OperState": "active"}, did
-    return _refuse_retirement(value, args, 2008)
+            return DONE, _retirement(RETIREMENT_ACTIVE), has_changed
+    return _refuse_retirement(value, order, UNKNOWN_MACHINE)
+
+
+def _retire_store(value: RegisterValue, store_id: str, order: RetirementOrder) -> tuple:
+    """Lets the active store of a machine leave, if enough others stay."""
+    if not _enough_stay(value, store_id, order.quorum):
+        return _refuse_retirement(value, order, TOO_FEW_MACHINES_LEFT)
+    if _is_copy_of_refused(value, order):
+        return UNCERTAIN, None, False
+    store = stores_of(value)[store_id]
+    store["state"] = LEAVING
+    store["retire"] = True
+    _drop_if_cleared(value, store_id)
+    return DONE, _retirement(RETIREMENT_ACTIVE), True
+
+
+def _refuse_retirement(value: RegisterValue, order: RetirementOrder, code: int) -> tuple:
+    """Refuses an order, so that copies of it that were sent before this refusal are not carried out either."""
+    refused = value.setdefault("retire_refused", {})
+    refused.pop(order.machine, None)  # the newest refusal stands last
+    refused[order.machine] = order.current_version
+    while len(refused) > MAX_RETIREMENT_REFUSALS:
+        value["retire_floor"] = refused.pop(next(iter(refused)))
+    return code, None, True
 
 
 @commands.on("retire.get")
-def retire_get(value, args):
-    """How far a machine's emptying is: {"node"}."""
-    if args["node"] in value.get("retired", {}):
-        return 1000, {"OperState": value["retired"][args["node"]]}, False
-    if any(store["name"] == args["node"] and store.get("retire") for store in value.get("stores", {}).values()):
-        return 1000, {"OperState": "active"}, False
-    return 2008, None, False
+def retire_get(value: RegisterValue, args: dict) -> tuple:
+    """Reads how far a machine's retirement is: {"node"}."""
+    machine = args["node"]
+    if machine in retirements_of(value):
+        return DONE, _retirement(retirements_of(value)[machine]), False
+    if any(store["name"] == machine and store.get("retire") for store in stores_of(value).values()):
+        return DONE, _retirement(RETIREMENT_ACTIVE), False
+    return UNKNOWN_MACHINE, None, False
 
 
-@commands.on("tenure.claim")
-def tenure_claim(value, args):
-    """Take a run's lease, if its term is still the one seen: {"run", "holder", "life", "seen"}."""
-    leases = value.setdefault("tenures", {})
-    now = leases.get(args["run"])
-    if now and now["holder"] == args["holder"] and now["life"] == args["life"] and now["term"] > args["seen"]:
-        return 1000, now, False
-    if (now["term"] if now else 0) != args["seen"]:
-        return 2011, now, False
-    leases[args["run"]] = {"holder": args["holder"], "life": args["life"], "term": args["seen"] + 1}
-    return 1000, leases[args["run"]], True
+def _retirement(state: str) -> dict[str, Any]:
+    return {"OperState": state}
 
 
-@commands.on("tenure.list")
-def tenure_list(value, args):
-    """All leases of the register, sure to be the newest."""
-    return 1000, value.get("tenures", {}), False
+# -- registers of the stores
 
 
 @commands.on("ledger.group")
-def ledger_group(value, args):
-    """The voters of a ledger register: {"key", "voters", "stamp"}. The first ones are written once, later ones under
-    the version that the register had with them."""
+def ledger_group(value: RegisterValue, args: dict) -> tuple:
+    """Notes the voters of a register of the stores: {"key", "voters", "stamp"}.
+
+    The first voters are written once, later ones under the version that the register has with them.
+    """
+    change = VoterGroupChange.from_document(args)
     groups = value.setdefault("ledger", {})
-    now = groups.get(args["key"])
-    if now is not None and args["stamp"] <= now["stamp"]:
-        return 1000, now, False
-    if any(sid not in value.get("stores", {}) for sid in args["voters"]):
-        return 2018, now, False
-    groups[args["key"]] = {"voters": args["voters"], "stamp": args["stamp"]}
-    for sid in list(value.get("stores", {})):
-        _drop_cleared(value, sid)
-    return 1000, groups[args["key"]], True
+    current = groups.get(change.register)
+    if current is not None and change.version <= current["stamp"]:
+        return DONE, current, False
+    if any(store_id not in stores_of(value) for store_id in change.voters):
+        return STALE_TERM_OR_MEMBERSHIP, current, False
+    groups[change.register] = {"voters": change.voters, "stamp": change.version}
+    for store_id in list(stores_of(value)):
+        _drop_if_cleared(value, store_id)
+    return DONE, groups[change.register], True
--- a/archhatch/evacuation/commands.py
+++ b/archhatch/evacuation/commands.py
@@ -9,7 +9,7 @@
 
 from ..consensus import Commands
 from ..control.leases import OTHER_TERM, is_held_under
-from ..control.store_commands import begun_term
+from ..control.register_values import begun_term
 from .plans import mark
 from .record import BEFORE_MOVE, FINAL, STEPS, Place, EvacuationState
 
--- a/archhatch/evacuation/controller.py
+++ b/archhatch/evacuation/controller.py
@@ -11,7 +11,7 @@
 
 from ..region_policy import Placement
 from ..jobs import active
-from ..control.store_commands import begun_term
+from ..control.register_values import begun_term
 from ..routing import RoutingTable
 from .commands import ACKNOWLEDGED, DUTY, FAILED, NO_KEY, TERM_OVER
 from .record import FINAL, Place, EvacuationState
--- a/tests/control/test_config_commands.py
+++ b/tests/control/test_config_commands.py
@@ -9,7 +9,7 @@
 
 from archhatch.consensus import Acceptor, Proposer, UnclearResultError
 from archhatch.control.api_requests import MOST_VERSION, InvalidRequestError, decode
-from archhatch.control.config_commands import KEEP_REFUSED, KEEP_TAKEN
+from archhatch.control.config_commands import MAX_AHEAD_REFUSALS, MAX_APPLIED_DIGESTS
 from archhatch.control.registers import commands
 from archhatch.runtime import Counters
 
@@ -33,15 +33,15 @@
         (1, 1, 1000),
         (1, 2, 1000),
         (1, 65, 1000),
-        (1, KEEP_TAKEN, 1000),
-        (2, KEEP_TAKEN + 1, 1000),
-        (1, KEEP_TAKEN + 1, 3004),
+        (1, MAX_APPLIED_DIGESTS, 1000),
+        (2, MAX_APPLIED_DIGESTS + 1, 1000),
+        (1, MAX_APPLIED_DIGESTS + 1, 3004),
     ],
 )  # its mark is gone: no clear answer, and no refusal
 def test_a_change_in_force_is_acknowledged_again_after_many_others(again, changes, code):
     value = grown(changes)
     assert put(value, again, again - 1) == code and value["plan"]["Revision"] == changes
-    assert len(value["taken"]) <= KEEP_TAKEN
+    assert len(value["taken"]) <= MAX_APPLIED_DIGESTS
 
 
 @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
 
 def test_refusals_ahead_are_bounded_and_then_unclear():
     value = grown(1)
-    assert [put(value, 900 + n, 800 + n) for n in range(KEEP_REFUSED + 1)] == [2011] * KEEP_REFUSED + [3004]
+    assert [put(value, 900 + n, 800 + n) for n in range(MAX_AHEAD_REFUSALS + 1)] == [2011] * MAX_AHEAD_REFUSALS + [3004]
 
 
 @pytest.mark.parametrize(
