--- a/archhatch/control/admin_api.py
+++ b/archhatch/control/admin_api.py
@@ -1,171 +1,243 @@
-"""Calls from outside: heartbeats of replicas, orders of operators and trainers."""
+"""The API for replicas, operators and trainers: heartbeats, configuration, retirements, policy, evacuations, roles."""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING, Any, Protocol
 
 from ..consensus import majority
 from ..membership import shard_of
+from ..rpc import CallRefusedError
 from ..runtime import error_result, json_result
 from ..singleton_roles.admin import SingletonRoleAdmin
-from ..rpc import CallRefusedError
 from .api_requests import (
-    InvalidRequestError,
-    HeartbeatRequest,
-    GetPlan,
+    ChangeConfigRequest,
     DeregisterRequest,
-    OnDuty,
-    OnEvacuation,
-    OnPolicy,
-    PutPlan,
-    PutVersion,
-    Retire,
+    EvacuationRequest,
+    GetConfigRequest,
+    HeartbeatRequest,
+    InvalidRequestError,
+    NameVersionRequest,
+    PolicyRequest,
+    RetirementRequest,
+    SingletonRoleRequest,
     decode,
 )
-from .registers import SERVICE_SHARDS, PLAN
+from .register_values import config_of
+from .registers import PLAN, SERVICE_SHARDS
+from .result_codes import DONE, NO_CONFIG, NO_MAJORITY, TARGET_LACKS_CAPACITY, is_retryable
 
-DONE = 1000
-NO_ROOM = 2204
-NO_PLAN = 3001
-UNREACHED = 3003
-UNCLEAR = 3000  # codes from here on say nothing final
+if TYPE_CHECKING:
+    from aiohttp.web import BaseRequest
 
+    from ..evacuation.controller import EvacuationController
+    from ..jobs import Quorum
+    from ..membership import PeerSet, ReplicaRegistry
+    from ..runtime import Clock, Counters, Result, Settings, StateBoard
+    from .agreement import Registers
 
-class AdminApi:
-    """Decodes a call into a command and runs it.
 
-    >>> # result = await AdminApi(node).answer(request, body)
+class AdminApiHost(Protocol):
+    """What the API uses of its control node.
+
+    Attributes:
+        id: The node's id.
+        quiet_s: After this many seconds a caller may try again, as a lost majority may be back by then.
     """
 
-    def __init__(self, node):
+    id: str
+    quiet_s: float
+    settings: Settings
+    clock: Clock
+    counters: Counters
+    state_board: StateBoard
+    registry: ReplicaRegistry
+    cores: PeerSet
+    quorum: Quorum
+    registers: Registers
+    evacuations: EvacuationController
+
+    def check_serving(self) -> bool:
+        """Returns whether the node may answer callers."""
+
+    async def call(self, address: str, verb: str, document: dict) -> Any:  # noqa: ANN401 - any JSON
+        """Calls another node; None if it does not answer."""
+
+
+class AdminApi:
+    """Decodes a request and runs it: heartbeats on the registry, everything else as a command on a register."""
+
+    def __init__(self, node: AdminApiHost) -> None:
         self.node = node
-        self.duties = SingletonRoleAdmin(node, PLAN)
-        self.calls = {
+        self.singleton_roles = SingletonRoleAdmin(node, PLAN)
+        self._handlers: dict[type, Callable[[Any], Awaitable[Result]]] = {
             HeartbeatRequest: self.record_heartbeat,
             DeregisterRequest: self.deregister,
-            PutPlan: self._put_plan,
-            GetPlan: self._get_plan,
-            PutVersion: self._put_version,
-            Retire: self._retire,
-            OnPolicy: self._on_policy,
-            OnEvacuation: self._on_evacuation,
-            OnDuty: self._on_duty,
+            ChangeConfigRequest: self._change_config,
+            GetConfigRequest: self._get_config,
+            NameVersionRequest: self._name_version,
+            RetirementRequest: self._retire,
+            PolicyRequest: self._run_policy_command,
+            EvacuationRequest: self._run_evacuation_command,
+            SingletonRoleRequest: self._run_role_command,
         }
 
-    async def answer(self, request, body: bytes):
-        """The result of a call; 503 at once while this node may not serve, so that the caller goes on to another."""
+    async def answer(self, http_request: BaseRequest, body: bytes) -> Result:
+        """Answers a request; 503 at once while this node may not serve, so that the caller goes on to another one.
+
+        Args:
+            http_request: The request line and the headers.
+            body: The body.
+
+        Returns:
+            The result, with a numbered code if it is an error.
+        """
         node = self.node
         try:
-            command = decode(request.method, request.raw_path, request.headers, body)
-        except InvalidRequestError as e:
-            node.counters.add(f"call.bad.{e.code}")
-            return error_result(e.code, e.why)
-        node.counters.add("call." + type(command).__name__)
+            request = decode(http_request.method, http_request.raw_path, http_request.headers, body)
+        except InvalidRequestError as error:
+            node.counters.add(f"request.invalid.{error.code}")
+            return error_result(error.code, error.why)
+        node.counters.add("request." + type(request).__name__)
         if not node.check_serving():
-            node.counters.add("call.not_serving")
-            return error_result(UNREACHED, after_s=node.quiet_s)
+            node.counters.add("request.not_serving")
+            return error_result(NO_MAJORITY, after_s=node.quiet_s)
         try:
-            return await self.calls[type(command)](command)
-        except CallRefusedError as e:
-            return error_result(e.code, after_s=node.quiet_s if e.code >= UNCLEAR else None)
+            return await self._handlers[type(request)](request)
+        except CallRefusedError as refusal:
+            return error_result(refusal.code, after_s=self._retry_after_s(refusal.code))
+
+    def _retry_after_s(self, code: int) -> float | None:
+        return self.node.quiet_s if is_retryable(code) else None
 
     # -- replicas
 
-    async def record_heartbeat(self, command: HeartbeatRequest):
-        """A heartbeat; `draining` is acknowledged once a majority has heard of it."""
-        node, entry = self.node, command.entry
+    async def record_heartbeat(self, request: HeartbeatRequest) -> Result:
+        """Records a heartbeat; `draining` is acknowledged once a majority of the control nodes knows of it."""
+        node, entry = self.node, request.entry
         turn = node.registry.turn
         node.registry.beat(entry, node.clock.now())
         if node.registry.turn != turn:
             node.state_board.touch("news")
         if entry["state"] == "draining":
-            await self._spread(entry)
-        return json_result(1000, {})
+            await self._push_to_majority(entry)
+        return json_result(DONE, {})
 
-    async def deregister(self, command: DeregisterRequest):
-        """A replica ends."""
+    async def deregister(self, request: DeregisterRequest) -> Result:
+        """Marks a replica as gone; acknowledged once a majority of the control nodes knows of it."""
         node = self.node
-        nameless = {
-            "id": command.iid,
-            "service": "",
-            "addr": "",
-            "zone": "",
-            "slots": 1,
-            "models": {},
-            "rev": "",
-            "seq": 0,
-        }
-        old = node.registry.all.get(command.iid) or nameless
-        entry = {**old, "state": "gone", "seq": old["seq"] + 1}
+        last = node.registry.all.get(request.replica_id) or _unknown_replica(request.replica_id)
+        entry = {**last, "state": "gone", "seq": last["seq"] + 1}
         node.registry.beat(entry, node.clock.now())
         node.state_board.touch("news")
-        await self._spread(entry)
-        return json_result(1000, {})
+        await self._push_to_majority(entry)
+        return json_result(DONE, {})
+
+    async def _push_to_majority(self, entry: dict) -> None:
+        """Sends a replica's entry to all control nodes at once.
 
-    async def _spread(self, entry: dict) -> None:
-        """Tell all control nodes at once; CallRefusedError unless a majority of the group heard."""
+        Raises:
+            CallRefusedError: NO_MAJORITY, if no majority of the group has taken it up.
+        """
         node = self.node
         voters = node.registers.group(PLAN)["voters"]
-        doc = {"roll": [{**{k: v for k, v in entry.items() if k != "silent"}, "age": 0.0}]}
-        tasks = [asyncio.ensure_future(node.call(c["addr"], "roll.push", doc)) for c in node.cores.cards.values()]
-        heard = {node.id}
-        for task in asyncio.as_completed(tasks):
-            out = await task
-            if out is not None:
-                heard.add(out["me"])
-            if majority(heard, voters):
+        pushed = {key: value for key, value in entry.items() if key != "silent"}
+        document = {"roll": [{**pushed, "age": 0.0}]}
+        calls = [
+            asyncio.ensure_future(node.call(card["addr"], "roll.push", document)) for card in node.cores.cards.values()
+        ]
+        informed = {node.id}
+        for call in asyncio.as_completed(calls):
+            answer = await call
+            if answer is not None:
+                informed.add(answer["me"])
+            if majority(informed, voters):
                 return
-        if not majority(heard, voters):
-            raise CallRefusedError(UNREACHED)
+        if not majority(informed, voters):
+            raise CallRefusedError(NO_MAJORITY)
 
     # -- operators and trainers
 
-    async def _run(self, shard: str, name: str, args: dict):
-        code, doc = await self.node.registers.run(shard, name, args)
-        if code == 1000:
-            return json_result(1000, doc)
-        return error_result(code, str(doc), after_s=self.node.quiet_s if code >= UNCLEAR else None)
+    async def _run(self, shard: str, command: str, args: dict) -> Result:
+        code, document = await self.node.registers.run(shard, command, args)
+        if code == DONE:
+            return json_result(DONE, document)
+        return error_result(code, str(document), after_s=self._retry_after_s(code))
 
-    async def _put_plan(self, command: PutPlan):
-        return await self._run(PLAN, f"plan.{command.kind}", {"doc": command.doc, "match": command.match})
+    async def _change_config(self, request: ChangeConfigRequest) -> Result:
+        args = {"doc": request.document, "match": request.expected_revision}
+        return await self._run(PLAN, f"plan.{request.kind}", args)
 
-    async def _get_plan(self, command: GetPlan):
+    async def _get_config(self, _request: GetConfigRequest) -> Result:
         return await self._run(PLAN, "plan.get", {})
 
     def _service_of(self, model: str) -> str:
-        plan = (self.node.registers.known.get(PLAN) or {"val": {}})["val"].get("plan")
-        if plan is None:
-            raise CallRefusedError(NO_PLAN)  # the register that holds the model's versions is not known yet
-        for service in plan.get("ServiceTable", []):
+        """Returns the service that serves a model; the model's own name if the configuration names none.
+
+        Raises:
+            CallRefusedError: NO_CONFIG, because the register that holds the model's versions is not known yet.
+        """
+        state = self.node.registers.known.get(PLAN)
+        config = config_of(state["val"]) if state is not None else None
+        if config is None:
+            raise CallRefusedError(NO_CONFIG)
+        for service in config.get("ServiceTable", []):
             for row in (service.get("Engine") or {}).get("ModelList") or []:
                 if row.get("Name") == model:
                     return service["Name"]
         return model
 
-    async def _put_version(self, command: PutVersion):
-        shard = shard_of(self._service_of(command.model), SERVICE_SHARDS)
-        return await self._run(shard, "named.put", {"model": command.model, "rev": command.rev})
-
-    async def _retire(self, command: Retire):
-        name = "retire.get" if command.ask else "retire.start"
-        args = {"node": command.node, "quorum": self.node.quorum.doc(), "seen": self.node.registers.version(PLAN)}
-        return await self._run(PLAN, name, args)
-
-    async def _on_policy(self, command: OnPolicy):
-        zones = {"zones": self.node.settings.zones} if command.name == "policy.put" else {}
-        return await self._run(PLAN, command.name, {**command.args, **zones})
-
-    async def _on_duty(self, command: OnDuty):
-        return await self.duties.answer(command.name, command.key)
-
-    async def _on_evacuation(self, command: OnEvacuation):
-        args = command.args
-        if command.name == "evacuation.plan":
-            # what the policy forbids is said first: with another target, the room is another question
-            code, doc = await self.node.registers.run(PLAN, command.name, {**args, "dry_run": True})
-            if code != DONE:
-                return error_result(code, str(doc))
-            missing = self.node.evacuations.lacks(args["plan"], doc["RuleList"])
-            if missing and doc["OperState"] == "planned":
-                return error_result(NO_ROOM, "; ".join(missing))
-        return await self._run(PLAN, command.name, args)
+    async def _name_version(self, request: NameVersionRequest) -> Result:
+        shard = shard_of(self._service_of(request.model), SERVICE_SHARDS)
+        return await self._run(shard, "named.put", {"model": request.model, "rev": request.version})
+
+    async def _retire(self, request: RetirementRequest) -> Result:
+        command = "retire.get" if request.is_query else "retire.start"
+        args = {
+            "node": request.machine,
+            "quorum": self.node.quorum.doc(),
+            "seen": self.node.registers.version(PLAN),
+        }
+        return await self._run(PLAN, command, args)
+
+    async def _run_policy_command(self, request: PolicyRequest) -> Result:
+        zones = {"zones": self.node.settings.zones} if request.command == "policy.put" else {}
+        return await self._run(PLAN, request.command, {**request.args, **zones})
+
+    async def _run_role_command(self, request: SingletonRoleRequest) -> Result:
+        return await self.singleton_roles.answer(request.command, request.key)
+
+    async def _run_evacuation_command(self, request: EvacuationRequest) -> Result:
+        if request.command == "evacuation.plan":
+            refusal = await self._check_evacuation_plan(request.args)
+            if refusal is not None:
+                return refusal
+        return await self._run(PLAN, request.command, request.args)
+
+    async def _check_evacuation_plan(self, args: dict) -> Result | None:
+        """Returns why a plan cannot be taken, None if it can.
+
+        What the policy forbids is answered first: with another target, the capacity is another question.
+        """
+        code, document = await self.node.registers.run(PLAN, "evacuation.plan", {**args, "dry_run": True})
+        if code != DONE:
+            return error_result(code, str(document))
+        missing = self.node.evacuations.lacks(args["plan"], document["RuleList"])
+        if missing and document["OperState"] == "planned":
+            return error_result(TARGET_LACKS_CAPACITY, "; ".join(missing))
+        return None
+
+
+def _unknown_replica(replica_id: str) -> dict:
+    """Returns an entry for a replica that deregisters without having been known here."""
+    return {
+        "id": replica_id,
+        "service": "",
+        "addr": "",
+        "zone": "",
+        "slots": 1,
+        "models": {},
+        "rev": "",
+        "seq": 0,
+    }
--- a/archhatch/control/agreement.py
+++ b/archhatch/control/agreement.py
@@ -13,7 +13,7 @@
 
 UNREACHED = 3003
 OVERDUE = 2  # times the time after which a node counts as silent: so long an owner may take to settle a register
-NOTHING = -1  # below the version of a register that was never changed, which is 0
+NO_VERSION = -1  # below the version of a register that was never changed, which is 0
 REWRITE_BYTES = 1 << 20  # the log is rewritten from this length on,
 REWRITE_GROWTH = 4  # ... once it is so many times as long as after the last rewrite
 
@@ -106,8 +106,8 @@
         return self.known.get(shard) or self.base(shard)
 
     def version(self, shard: str) -> int:
-        """The version that this node knows to be chosen; NOTHING if it knows none."""
-        return self.known[shard]["stamp"] if shard in self.known else NOTHING
+        """The version that this node knows to be chosen; NO_VERSION if it knows none."""
+        return self.known[shard]["stamp"] if shard in self.known else NO_VERSION
 
     def versions(self) -> dict:
         """The same of all registers."""
@@ -120,7 +120,7 @@
     def told_chosen(self, versions: dict) -> list:
         """Another node knows these versions to be chosen; the registers of which it has a newer one."""
         for shard, version in versions.items():
-            self.chosen[shard] = max(version, self.chosen.get(shard, NOTHING))
+            self.chosen[shard] = max(version, self.chosen.get(shard, NO_VERSION))
         return [shard for shard, version in versions.items() if version > self.version(shard)]
 
     def behind(self) -> set:
@@ -129,7 +129,7 @@
         for shard in SHARDS:
             group = self.group(shard)
             voters = members(group) if group else {}
-            newest = max(self.chosen.get(shard, NOTHING), node.contact.newest(shard, voters, now))
+            newest = max(self.chosen.get(shard, NO_VERSION), node.contact.newest_accepted(shard, voters, now))
             if newest > self.version(shard):
                 out.add(shard)
         return out
@@ -144,7 +144,7 @@
         if state["stamp"] <= self.version(shard):
             return False
         self.known[shard] = state
-        self.chosen[shard] = max(state["stamp"], self.chosen.get(shard, NOTHING))
+        self.chosen[shard] = max(state["stamp"], self.chosen.get(shard, NO_VERSION))
         if shard == PLAN:
             self.node.state_board.touch("plan")
         self.node.state_board.touch("news")
--- a/archhatch/control/api_requests.py
+++ b/archhatch/control/api_requests.py
@@ -1,287 +1,436 @@
-"""Calls of replicas and operators, decoded into small commands that are run elsewhere."""
+"""Requests of replicas, operators and trainers, decoded into small typed requests that AdminApi runs."""
 
 from __future__ import annotations
 
 import re
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from typing import Any
 from urllib.parse import unquote
 
 import orjson
 
 from ..evacuation.plans import InvalidPlanError, read_plan
+from ..exceptions import ArchhatchError
+from . import result_codes
 
-MOST_VERSION = 2**53 - 1  # the largest number that every JSON reader keeps exactly
+MAX_REVISION = 2**53 - 1  # the largest integer that every JSON reader keeps exactly
+MAX_REASON_CHARS = 200  # of an operator's reason that are kept
+DEFAULT_SLOTS = 1  # slots of a replica whose heartbeat names none
+FIRST_MODEL_REVISION = 1  # of a model whose heartbeat names none
+REPLICA_STATES = ("up", "draining")
+ANY_RULE = "*"  # in place of a rule's name: the operator's word holds for every rule
 
 
-class InvalidRequestError(Exception):
-    """A call that cannot be read; carries its numbered code."""
+class InvalidRequestError(ArchhatchError):
+    """A request that cannot be read; each subclass has its numbered code.
 
-    def __init__(self, code: int, why: str = ""):
+    Attributes:
+        why: What is wrong, for the caller.
+    """
+
+    code: int = result_codes.INVALID_REQUEST
+
+    def __init__(self, why: str = "") -> None:
         super().__init__(why)
-        self.code, self.why = code, why
+        self.why = why
+
+
+class UnknownCallError(InvalidRequestError):
+    """No call has this path."""
+
+    code = result_codes.UNKNOWN_CALL
+
+
+class MethodNotAllowedError(InvalidRequestError):
+    """The path is known, but not with this method."""
+
+    code = result_codes.METHOD_NOT_ALLOWED
+
+
+class InvalidHeartbeatError(InvalidRequestError):
+    """A replica's heartbeat that cannot be read."""
+
+    code = result_codes.INVALID_HEARTBEAT
+
+
+class InvalidConfigRequestError(InvalidRequestError):
+    """A change of the configuration whose body or revision cannot be read."""
+
+    code = result_codes.INVALID_CONFIG
+
 
+class InvalidIfMatchError(InvalidRequestError):
+    """An If-Match header that is missing or holds no number."""
 
-@dataclass(slots=True)
+    code = result_codes.INVALID_IF_MATCH
+
+
+class InvalidPolicyEncodingError(InvalidRequestError):
+    """A placement policy that is not UTF-8."""
+
+    code = result_codes.INVALID_POLICY
+
+
+class InvalidEvacuationRequestError(InvalidRequestError):
+    """An evacuation's plan that cannot be used."""
+
+    code = result_codes.INVALID_EVACUATION_PLAN
+
+
+@dataclass(slots=True)  # not frozen: one is made for each heartbeat, and a frozen dataclass costs more to make
 class HeartbeatRequest:
+    """A replica's heartbeat.
+
+    Attributes:
+        entry: The replica as the registry and the feed keep it; a dictionary, as it goes on to both unchanged.
+    """
+
     entry: dict
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class DeregisterRequest:
-    iid: str
+    """A replica ends."""
+
+    replica_id: str
 
 
-@dataclass(slots=True)
-class PutPlan:
+@dataclass(frozen=True, slots=True)
+class ChangeConfigRequest:
+    """A change of the configuration.
+
+    Attributes:
+        kind: "put" for a whole configuration, "patch" for named items.
+        document: The configuration, or the items.
+        expected_revision: The revision that the change builds on.
+    """
+
     kind: str
-    doc: dict
-    match: int
+    document: dict
+    expected_revision: int
+
 
+@dataclass(frozen=True, slots=True)
+class GetConfigRequest:
+    """Reads the configuration in force."""
 
-@dataclass(slots=True)
-class GetPlan:
-    pass
 
+@dataclass(frozen=True, slots=True)
+class NameVersionRequest:
+    """A trainer names the newest version of a model."""
 
-@dataclass(slots=True)
-class PutVersion:
     model: str
-    rev: int
+    version: int
 
 
-@dataclass(slots=True)
-class Retire:
-    node: str
-    ask: bool
+@dataclass(frozen=True, slots=True)
+class RetirementRequest:
+    """Empties a machine for good, or asks how far that is.
 
+    Attributes:
+        machine: The machine's name.
+        is_query: Whether the request only asks.
+    """
+
+    machine: str
+    is_query: bool
 
-@dataclass(slots=True)
-class OnPolicy:
-    """A call about the placement policy: a command on the part that holds it."""
 
-    name: str
+@dataclass(frozen=True, slots=True)
+class PolicyRequest:
+    """A request about the placement policy or the regions: a command on the register that holds them."""
+
+    command: str
     args: dict
 
 
-@dataclass(slots=True)
-class OnEvacuation:
-    """A call about evacuations: a command on their records."""
+@dataclass(frozen=True, slots=True)
+class EvacuationRequest:
+    """A request about evacuations: a command on their records."""
 
-    name: str
+    command: str
     args: dict
 
 
-@dataclass(slots=True)
-class OnDuty:
-    """A call about the duty ledger; without a key, about all duties."""
+@dataclass(frozen=True, slots=True)
+class SingletonRoleRequest:
+    """A request about singleton roles; without a key, about all of them."""
 
-    name: str
+    command: str
     key: str = ""
 
 
-DECODERS: list = []
+ApiRequest = (
+    HeartbeatRequest
+    | DeregisterRequest
+    | ChangeConfigRequest
+    | GetConfigRequest
+    | NameVersionRequest
+    | RetirementRequest
+    | PolicyRequest
+    | EvacuationRequest
+    | SingletonRoleRequest
+)
+Decoder = Callable[..., ApiRequest]  # takes the groups of the path's pattern, the headers and the body
+DECODERS: list[tuple[str, re.Pattern[str], Decoder]] = []
 
 
-def call(method: str, pattern: str):
-    """Register a decoder for a method and a path pattern."""
+def decodes(method: str, path_pattern: str) -> Callable[[Decoder], Decoder]:
+    """Registers a decoder for a method and a path."""
 
-    def put(function):
-        DECODERS.append((method, re.compile(pattern + r"\Z"), function))
-        return function
+    def register(decoder: Decoder) -> Decoder:
+        DECODERS.append((method, re.compile(path_pattern + r"\Z"), decoder))
+        return decoder
 
-    return put
+    return register
 
 
-def _doc(body: bytes, code: int = 2001) -> dict:
-    try:
-        doc = orjson.loads(body)
-    except orjson.JSONDecodeError as e:
-        raise InvalidRequestError(code, str(e)) from e
-    if not isinstance(doc, dict):
-        raise InvalidRequestError(code, "must be one JSON object")
-    return doc
+def decode(method: str, path: str, headers: Mapping[str, str], body: bytes) -> ApiRequest:
+    """Decodes a request.
 
+    >>> decode("GET", "/api/config", {}, b"")
+    GetConfigRequest()
 
-def decode(method: str, path: str, heads, body: bytes):
-    """The command that a call asks for; InvalidRequestError if it cannot be read.
+    Args:
+        method: The HTTP method.
+        path: The path, with its query if it has one.
+        headers: The headers; reading them ignores case.
+        body: The body.
 
-    >>> decode("GET", "/api/config", {}, b"")
-    GetPlan()
+    Returns:
+        The typed request.
+
+    Raises:
+        InvalidRequestError: It cannot be read.
     """
-    path, other = path.split("?", 1)[0], False
-    for meth, pat, function in DECODERS:
-        hit = pat.match(path)
-        if hit:
-            if meth == method:
-                return function(*(unquote(g) for g in hit.groups()), heads, body)
-            other = True
-    raise InvalidRequestError(2010 if other else 2009)
-
-
-@call("PUT", r"/api/instances/([^/]+)")
-def _beat(iid, heads, body):
-    doc = _doc(body, 2004)
+    path = path.split("?", 1)[0]
+    has_other_method = False
+    for decoder_method, pattern, decoder in DECODERS:
+        match = pattern.match(path)
+        if match:
+            if decoder_method == method:
+                return decoder(*(unquote(group) for group in match.groups()), headers, body)
+            has_other_method = True
+    raise MethodNotAllowedError if has_other_method else UnknownCallError
+
+
+def _read_object(body: bytes, error: type[InvalidRequestError] = InvalidRequestError) -> dict:
     try:
-        seq, slots, state = doc.get("Sequence", 0), doc.get("SlotCount", 1), doc["OperState"]
-        address, svc = doc["Address"], doc["Service"]
-    except KeyError as e:
-        raise InvalidRequestError(2004, f"{e.args[0]} is missing") from e
-    if (
-        state not in ("up", "draining")
-        or not isinstance(address, str)
-        or ":" not in address
-        or not isinstance(svc, str)
-    ):
-        raise InvalidRequestError(2004, "OperState, Address or Service is wrong")
-    if any(isinstance(n, bool) or not isinstance(n, int) or n < 0 for n in (seq, slots)):
-        raise InvalidRequestError(2004, "Sequence or SlotCount is wrong")
-    models = {}
-    for m in doc.get("ModelList") or []:
-        if not isinstance(m, dict) or not isinstance(m.get("Name"), str) or not isinstance(m.get("Revision", 1), int):
-            raise InvalidRequestError(2004, "ModelList is wrong")
-        models[m["Name"]] = m.get("Revision", 1)
+        document = orjson.loads(body)
+    except orjson.JSONDecodeError as cause:
+        raise error(str(cause)) from cause
+    if not isinstance(document, dict):
+        raise error("must be one JSON object")
+    return document
+
+
+def _read_if_match(headers: Mapping[str, str]) -> int:
+    """Reads the version in If-Match: decimal digits, in quotes or not."""
+    text = headers.get("If-Match", "").strip().strip('"')
+    if not re.fullmatch(r"[0-9]{1,16}", text) or int(text) > MAX_REVISION:
+        raise InvalidIfMatchError(f"must be a number up to {MAX_REVISION}")
+    return int(text)
+
+
+def _read_optional_if_match(headers: Mapping[str, str]) -> int | None:
+    return _read_if_match(headers) if "If-Match" in headers else None
+
+
+# -- replicas
+
+
+@decodes("PUT", r"/api/instances/([^/]+)")
+def _decode_heartbeat(replica_id: str, _headers: Mapping[str, str], body: bytes) -> HeartbeatRequest:
+    document = _read_object(body, InvalidHeartbeatError)
+    try:
+        sequence = document.get("Sequence", 0)
+        slots = document.get("SlotCount", DEFAULT_SLOTS)
+        state = document["OperState"]
+        address = document["Address"]
+        service = document["Service"]
+    except KeyError as error:
+        raise InvalidHeartbeatError(f"{error.args[0]} is missing") from error
+    is_address = isinstance(address, str) and ":" in address
+    if state not in REPLICA_STATES or not is_address or not isinstance(service, str):
+        raise InvalidHeartbeatError("OperState, Address or Service is wrong")
+    if not _is_count(sequence) or not _is_count(slots):
+        raise InvalidHeartbeatError("Sequence or SlotCount is wrong")
     return HeartbeatRequest(
         {
-            "id": iid,
-            "service": svc,
+            "id": replica_id,
+            "service": service,
             "addr": address,
-            "zone": str(doc.get("Zone", "")),
+            "zone": str(document.get("Zone", "")),
             "slots": max(1, slots),
             "state": state,
-            "seq": seq,
-            "models": models,
-            "rev": str(doc.get("Revision", "")),
+            "seq": sequence,
+            "models": _read_models(document),
+            "rev": str(document.get("Revision", "")),
         }
     )
 
 
-@call("DELETE", r"/api/instances/([^/]+)")
-def _leave(iid, heads, body):
-    return DeregisterRequest(iid)
+def _is_count(number: object) -> bool:
+    return not isinstance(number, bool) and isinstance(number, int) and number >= 0
 
 
-@call("PUT", r"/api/config")
-def _put(heads, body):
-    return _plan("put", heads, body)
+def _read_models(document: dict) -> dict[str, int]:
+    """Reads the loaded models of a heartbeat: the revision by name."""
+    models = {}
+    for row in document.get("ModelList") or []:
+        if not isinstance(row, dict) or not isinstance(row.get("Name"), str):
+            raise InvalidHeartbeatError("ModelList is wrong")
+        revision = row.get("Revision", FIRST_MODEL_REVISION)
+        if not isinstance(revision, int):
+            raise InvalidHeartbeatError("ModelList is wrong")
+        models[row["Name"]] = revision
+    return models
 
 
-@call("PATCH", r"/api/config")
-def _patch(heads, body):
-    return _plan("patch", heads, body)
+@decodes("DELETE", r"/api/instances/([^/]+)")
+def _decode_deregistration(replica_id: str, _headers: Mapping[str, str], _body: bytes) -> DeregisterRequest:
+    return DeregisterRequest(replica_id)
 
 
-def _plan(kind, heads, body):
-    doc = _doc(body, 2002)
-    match = _match(heads, True)
-    number = doc.get("Revision")
-    if isinstance(number, bool) or not isinstance(number, int) or not 0 < number <= MOST_VERSION:
-        raise InvalidRequestError(2002, f"Revision: is missing or no number from 1 to {MOST_VERSION}")
-    return PutPlan(kind, doc, match)
+# -- the configuration
 
 
-@call("GET", r"/api/config")
-def _get(heads, body):
-    return GetPlan()
+@decodes("PUT", r"/api/config")
+def _decode_config_put(headers: Mapping[str, str], body: bytes) -> ChangeConfigRequest:
+    return _read_config_change("put", headers, body)
 
 
-@call("POST", r"/api/version-put")
-def _version(heads, body):
-    doc = _doc(body)
-    if not isinstance(doc.get("Model"), str) or not isinstance(doc.get("Revision"), int) or doc["Revision"] < 1:
-        raise InvalidRequestError(2001, "Model or Revision is wrong")
-    return PutVersion(doc["Model"], doc["Revision"])
+@decodes("PATCH", r"/api/config")
+def _decode_config_patch(headers: Mapping[str, str], body: bytes) -> ChangeConfigRequest:
+    return _read_config_change("patch", headers, body)
 
 
-@call("POST", r"/api/retire/([^/]+)")
-def _retire(node, heads, body):
-    return Retire(node, False)
+def _read_config_change(kind: str, headers: Mapping[str, str], body: bytes) -> ChangeConfigRequest:
+    document = _read_object(body, InvalidConfigRequestError)
+    expected_revision = _read_if_match(headers)
+    revision = document.get("Revision")
+    is_integer = isinstance(revision, int) and not isinstance(revision, bool)
+    if not is_integer or not 0 < revision <= MAX_REVISION:
+        raise InvalidConfigRequestError(f"Revision: is missing or no number from 1 to {MAX_REVISION}")
+    return ChangeConfigRequest(kind, document, expected_revision)
 
 
-@call("GET", r"/api/retire/([^/]+)")
-def _retired(node, heads, body):
-    return Retire(node, True)
+@decodes("GET", r"/api/config")
+def _decode_config_get(_headers: Mapping[str, str], _body: bytes) -> GetConfigRequest:
+    return GetConfigRequest()
 
 
-def _match(heads, must: bool) -> int | None:
-    """The version in If-Match: decimal digits, in quotes or not."""
-    if not must and "If-Match" not in heads:
-        return None
-    text = heads.get("If-Match", "").strip().strip('"')
-    if not re.fullmatch(r"[0-9]{1,16}", text) or int(text) > MOST_VERSION:
-        raise InvalidRequestError(2015, f"must be a number up to {MOST_VERSION}")
-    return int(text)
+@decodes("POST", r"/api/version-put")
+def _decode_version(_headers: Mapping[str, str], body: bytes) -> NameVersionRequest:
+    document = _read_object(body)
+    model, version = document.get("Model"), document.get("Revision")
+    if not isinstance(model, str) or not isinstance(version, int) or version < 1:
+        raise InvalidRequestError("Model or Revision is wrong")
+    return NameVersionRequest(model, version)
+
+
+# -- retirement of machines
+
+
+@decodes("POST", r"/api/retire/([^/]+)")
+def _decode_retirement(machine: str, _headers: Mapping[str, str], _body: bytes) -> RetirementRequest:
+    return RetirementRequest(machine, is_query=False)
+
+
+@decodes("GET", r"/api/retire/([^/]+)")
+def _decode_retirement_query(machine: str, _headers: Mapping[str, str], _body: bytes) -> RetirementRequest:
+    return RetirementRequest(machine, is_query=True)
 
 
-@call("GET", r"/api/policy")
-def _get_policy(heads, body):
-    return OnPolicy("policy.get", {})
+# -- the placement policy and the regions
 
 
-@call("PUT", r"/api/policy")
-def _put_policy(heads, body):
+@decodes("GET", r"/api/policy")
+def _decode_policy_get(_headers: Mapping[str, str], _body: bytes) -> PolicyRequest:
+    return PolicyRequest("policy.get", {})
+
+
+@decodes("PUT", r"/api/policy")
+def _decode_policy_put(headers: Mapping[str, str], body: bytes) -> PolicyRequest:
     try:
-        return OnPolicy("policy.put", {"text": body.decode(), "match": _match(heads, True)})
-    except UnicodeDecodeError as e:
-        raise InvalidRequestError(2101, "is not UTF-8") from e
+        return PolicyRequest("policy.put", {"text": body.decode(), "match": _read_if_match(headers)})
+    except UnicodeDecodeError as error:
+        raise InvalidPolicyEncodingError("is not UTF-8") from error
 
 
-@call("GET", r"/api/regions")
-def _regions(heads, body):
-    return OnPolicy("region.list", {})
+@decodes("GET", r"/api/regions")
+def _decode_region_list(_headers: Mapping[str, str], _body: bytes) -> PolicyRequest:
+    return PolicyRequest("region.list", {})
 
 
-@call("POST", r"/api/regions/([^/]+)")
-def _region(name, heads, body):
-    doc = _doc(body)
-    state, why = doc.get("OperState"), doc.get("Reason")
-    if state not in ("out", "in") or not isinstance(why, str) or not why.strip():
-        raise InvalidRequestError(2001, "OperState must be out or in, and Reason must say why")
-    return OnPolicy(
+@decodes("POST", r"/api/regions/([^/]+)")
+def _decode_region_state(region: str, headers: Mapping[str, str], body: bytes) -> PolicyRequest:
+    document = _read_object(body)
+    state: Any = document.get("OperState")
+    reason: Any = document.get("Reason")
+    if state not in ("out", "in") or not isinstance(reason, str) or not reason.strip():
+        raise InvalidRequestError("OperState must be out or in, and Reason must say why")
+    return PolicyRequest(
         "region.out" if state == "out" else "region.back",
-        {"region": name, "rule": "*", "by": "operator", "reason": why[:200], "epoch": _match(heads, False)},
+        {
+            "region": region,
+            "rule": ANY_RULE,
+            "by": "operator",
+            "reason": reason[:MAX_REASON_CHARS],
+            "epoch": _read_optional_if_match(headers),
+        },
     )
 
 
-@call("POST", r"/api/evacuations")
-def _plan_evacuation(heads, body):
-    doc = _doc(body, 2201)
-    dry_run = doc.pop("DryRun", False)
-    if not isinstance(dry_run, bool):
-        raise InvalidRequestError(2201, "DryRun: must be true or false")
+# -- evacuations
+
+
+@decodes("POST", r"/api/evacuations")
+def _decode_evacuation_plan(_headers: Mapping[str, str], body: bytes) -> EvacuationRequest:
+    document = _read_object(body, InvalidEvacuationRequestError)
+    is_dry_run = document.pop("DryRun", False)
+    if not isinstance(is_dry_run, bool):
+        raise InvalidEvacuationRequestError("DryRun: must be true or false")
     try:
-        return OnEvacuation("evacuation.plan", {"plan": read_plan(doc), "dry_run": dry_run})
-    except InvalidPlanError as e:
-        raise InvalidRequestError(2201, str(e)) from None
+        return EvacuationRequest("evacuation.plan", {"plan": read_plan(document), "dry_run": is_dry_run})
+    except InvalidPlanError as error:
+        raise InvalidEvacuationRequestError(str(error)) from None
+
+
+@decodes("GET", r"/api/evacuations")
+def _decode_evacuation_list(_headers: Mapping[str, str], _body: bytes) -> EvacuationRequest:
+    return EvacuationRequest("evacuation.get", {})
 
 
-@call("GET", r"/api/evacuations")
-def _evacuations(heads, body):
-    return OnEvacuation("evacuation.get", {})
+@decodes("GET", r"/api/evacuations/([^/]+)")
+def _decode_evacuation_get(evacuation_id: str, _headers: Mapping[str, str], _body: bytes) -> EvacuationRequest:
+    return EvacuationRequest("evacuation.get", {"id": evacuation_id})
 
 
-@call("GET", r"/api/evacuations/([^/]+)")
-def _evacuation(name, heads, body):
-    return OnEvacuation("evacuation.get", {"id": name})
+@decodes("POST", r"/api/evacuations/([^/]+)/(start|cancel|return)")
+def _decode_evacuation_order(
+    evacuation_id: str, order: str, _headers: Mapping[str, str], body: bytes
+) -> EvacuationRequest:
+    reason = _read_object(body).get("Reason", "") if body else ""
+    if not isinstance(reason, str):
+        raise InvalidRequestError("Reason must be words")
+    return EvacuationRequest(f"evacuation.{order}", {"id": evacuation_id, "why": reason[:MAX_REASON_CHARS]})
 
 
-@call("POST", r"/api/evacuations/([^/]+)/(start|cancel|return)")
-def _order_evacuation(name, order, heads, body):
-    why = _doc(body).get("Reason", "") if body else ""
-    if not isinstance(why, str):
-        raise InvalidRequestError(2001, "Reason must be words")
-    return OnEvacuation(f"evacuation.{order}", {"id": name, "why": why[:200]})
+# -- singleton roles
 
 
-@call("GET", r"/api/duties")
-def _duties(heads, body):
-    return OnDuty("duty.list")
+@decodes("GET", r"/api/duties")
+def _decode_role_list(_headers: Mapping[str, str], _body: bytes) -> SingletonRoleRequest:
+    return SingletonRoleRequest("duty.list")
 
 
-@call("GET", r"/api/duties/([^/]+)")
-def _duty(key, heads, body):
-    return OnDuty("duty.list", key)
+@decodes("GET", r"/api/duties/([^/]+)")
+def _decode_role_get(key: str, _headers: Mapping[str, str], _body: bytes) -> SingletonRoleRequest:
+    return SingletonRoleRequest("duty.list", key)
 
 
-@call("POST", r"/api/duties/([^/]+)/reset")
-def _reset_duty(key, heads, body):
-    return OnDuty("duty.reset", key)
+@decodes("POST", r"/api/duties/([^/]+)/reset")
+def _decode_role_reset(key: str, _headers: Mapping[str, str], _body: bytes) -> SingletonRoleRequest:
+    return SingletonRoleRequest("duty.reset", key)
--- a/archhatch/control/config_commands.py
+++ b/archhatch/control/config_commands.py
@@ -110,9 +110,7 @@
         del applied[oldest]
         value["taken_floor"] = int(oldest)
     if "refused" in value:
-        value["refused"] = {
-            refused: expected for refused, expected in value["refused"].items() if expected >= revision
-        }
+        value["refused"] = {refused: expected for refused, expected in value["refused"].items() if expected >= revision}
 
 
 @commands.on("plan.put")
--- a/archhatch/control/feed.py
+++ b/archhatch/control/feed.py
@@ -74,7 +74,7 @@
         state = self.node.registers.known[shard]
         history = self._histories.setdefault(shard, RegisterHistory())
         if history.version != state["stamp"]:
-            history.note(state["stamp"], feed_view(shard, state["val"]))
+            history.add(state["stamp"], feed_view(shard, state["val"]))
             self._part_bytes = {key: raw for key, raw in self._part_bytes.items() if key[0] != shard}
         have = self._part_bytes.get((shard, base))
         if have is None:
@@ -82,8 +82,8 @@
         return have
 
     def _encode(self, history: RegisterHistory, base: int | None) -> orjson.Fragment:
-        changes = None if base is None else history.since(base)
-        doc = {"stamp": history.version, "val": history.whole}
+        changes = None if base is None else history.changes_since(base)
+        doc = {"stamp": history.version, "val": history.encoded_value}
         if changes is not None:
             self.node.counters.add("feed.changes")
             doc = {"stamp": history.version, "base": base, "changes": [orjson.Fragment(raw) for raw in changes]}
--- a/archhatch/control/history.py
+++ b/archhatch/control/history.py
@@ -1,4 +1,4 @@
-"""The last changes of a register, as a feed sends them to readers that have an older version."""
+"""The last changes of a register, as the feed sends them to readers that have an older version."""
 
 from __future__ import annotations
 
@@ -10,35 +10,41 @@
 from ..membership.delta import diff
 from ..runtime import encode_kept
 
-KEEP_CHANGES = 64  # changes of a register that are kept,
-KEEP_SHARE = 0.5  # ... as long as they are together no longer than this share of the whole
+MAX_CHANGES = 64  # changes of a register that are kept,
+MAX_CHANGES_SHARE = 0.5  # ... as long as they are together no longer than this share of the whole value
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
     """The step from one version of a register to a later one, encoded."""
 
-    base: int
+    base_version: int
     version: int
     encoded: bytes
 
 
 class RegisterHistory:
-    """note() is told of each version that becomes known here; since() gives the steps from an older one.
+    """The newest version of a register and the steps that led to it.
 
-    >>> h = RegisterHistory(); h.note(1, {"a": 1, "b": "." * 200}); h.note(4, {"a": 2, "b": "." * 200})
-    >>> h.since(1), h.since(2), h.since(4)
+    >>> history = RegisterHistory()
+    >>> history.add(1, {"a": 1, "b": "." * 200})
+    >>> history.add(4, {"a": 2, "b": "." * 200})
+    >>> history.changes_since(1), history.changes_since(2), history.changes_since(4)
     ([b'{"in":{"a":{"is":2}},"drop":[]}'], None, [])
+
+    Attributes:
+        version: The newest version, None before the first one.
+        encoded_value: The newest value, encoded.
     """
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.version: int | None = None
-        self.whole = orjson.Fragment(b"null")  # the newest version, encoded
+        self.encoded_value = orjson.Fragment(b"null")
         self._value: object = None
         self._changes: deque[Change] = deque()
 
-    def note(self, version: int, value: object) -> None:
-        """This version is in force now."""
+    def add(self, version: int, value: object) -> None:
+        """Takes up the version that is in force now."""
         if version == self.version:
             return
         raw = encode_kept(value)
@@ -47,20 +53,22 @@
         else:
             change = diff(self._value, value) or {"in": {}, "drop": []}
             self._changes.append(Change(self.version, version, encode_kept(change)))
-            self._shorten(len(raw) * KEEP_SHARE)
-        self.version, self._value, self.whole = version, value, orjson.Fragment(raw)
+            self._shorten(len(raw) * MAX_CHANGES_SHARE)
+        self.version = version
+        self._value = value
+        self.encoded_value = orjson.Fragment(raw)
 
-    def since(self, version: int) -> list[bytes] | None:
-        """The steps from a version to the newest one, the oldest first; None if they are not all known."""
+    def changes_since(self, version: int) -> list[bytes] | None:
+        """Returns the steps from a version to the newest one, the oldest first; None if they are not all kept."""
         if version == self.version:
             return []
         steps = []
         for change in reversed(self._changes):
             steps.append(change.encoded)
-            if change.base == version:
+            if change.base_version == version:
                 return steps[::-1]
         return None
 
-    def _shorten(self, most_bytes: float) -> None:
-        while len(self._changes) > KEEP_CHANGES or sum(len(c.encoded) for c in self._changes) > most_bytes:
+    def _shorten(self, max_bytes: float) -> None:
+        while len(self._changes) > MAX_CHANGES or sum(len(change.encoded) for change in self._changes) > max_bytes:
             self._changes.popleft()
--- a/archhatch/control/node.py
+++ b/archhatch/control/node.py
@@ -165,11 +165,11 @@
     def has_majority_contact(self) -> bool:
         """Whether a majority of the configuration's group answered this node within the bound."""
         group = self.registers.group(PLAN)
-        return group is not None and self.contact.reached(self.id, group, self.clock.now())
+        return group is not None and self.contact.has_majority(self.id, group, self.clock.now())
 
     def check_serving(self) -> bool:
         """Whether this node may answer callers: in touch, and as new as what that majority holds."""
-        return self.gate.look(self.has_majority_contact(), self.registers.behind(), self.clock.now())
+        return self.gate.update(self.has_majority_contact(), self.registers.behind(), self.clock.now())
 
     def condition(self) -> dict:
         """What the doctor asks for."""
@@ -186,7 +186,7 @@
             "serving": self.check_serving(),
             "voters": len(voters),
             "least_voters": self.registers.size.minimum,
-            "up": sum(1 for v in voters if v == self.id or self.contact.proven(v, now)),
+            "up": sum(1 for v in voters if v == self.id or self.contact.has_contact(v, now)),
             "damaged": self.wal.damaged,
             "stamps": self.registers.versions(),
             "silent": silent,
--- a/archhatch/control/peers.py
+++ b/archhatch/control/peers.py
@@ -231,7 +231,7 @@
         if out is None:
             self.reports.pop(address, None)
             return False
-        node.contact.note(out["card"]["id"], sent_at, out.get("accepted", {}))
+        node.contact.record_answer(out["card"]["id"], sent_at, out.get("accepted", {}))
         self._note_time(out, sent_at)
         self.merge_ping(out)
         node.check_serving()
--- a/tests/control/test_api_requests.py
+++ b/tests/control/test_api_requests.py
@@ -4,11 +4,11 @@
 from archhatch.control.api_requests import (
     InvalidRequestError,
     HeartbeatRequest,
-    GetPlan,
+    GetConfigRequest,
     DeregisterRequest,
-    PutPlan,
-    PutVersion,
-    Retire,
+    ChangeConfigRequest,
+    NameVersionRequest,
+    RetirementRequest,
     decode,
 )
 
@@ -28,12 +28,12 @@
     [
         ("PUT", "/api/instances/i-1", {}, BEAT, HeartbeatRequest),
         ("DELETE", "/api/instances/i%2F1", {}, None, DeregisterRequest),
-        ("PUT", "/api/config", {"If-Match": "5"}, {"Revision": 6}, PutPlan),
-        ("PATCH", "/api/config", {"If-Match": '"5"'}, {"Revision": 6}, PutPlan),
-        ("GET", "/api/config", {}, None, GetPlan),
-        ("POST", "/api/version-put", {}, {"Model": "m", "Revision": 2}, PutVersion),
-        ("POST", "/api/retire/n", {}, {"DeadlineS": 3}, Retire),
-        ("GET", "/api/retire/n", {}, None, Retire),
+        ("PUT", "/api/config", {"If-Match": "5"}, {"Revision": 6}, ChangeConfigRequest),
+        ("PATCH", "/api/config", {"If-Match": '"5"'}, {"Revision": 6}, ChangeConfigRequest),
+        ("GET", "/api/config", {}, None, GetConfigRequest),
+        ("POST", "/api/version-put", {}, {"Model": "m", "Revision": 2}, NameVersionRequest),
+        ("POST", "/api/retire/n", {}, {"DeadlineS": 3}, RetirementRequest),
+        ("GET", "/api/retire/n", {}, None, RetirementRequest),
     ],
 )
 def test_decode(method, path, heads, doc, kind):
@@ -43,7 +43,7 @@
 def test_beat_fields():
     entry = decode("PUT", "/api/instances/i-1", {}, orjson.dumps(BEAT)).entry
     assert entry["models"] == {"m": 2} and entry["slots"] == 3 and entry["state"] == "up" and entry["seq"] == 4
-    assert decode("DELETE", "/api/instances/i%2F1", {}, b"").iid == "i/1"
+    assert decode("DELETE", "/api/instances/i%2F1", {}, b"").replica_id == "i/1"
 
 
 @pytest.mark.parametrize(
--- a/tests/control/test_config_commands.py
+++ b/tests/control/test_config_commands.py
@@ -8,7 +8,7 @@
 from tests.routing.test_routing import GOOD, changed
 
 from archhatch.consensus import Acceptor, Proposer, UnclearResultError
-from archhatch.control.api_requests import MOST_VERSION, InvalidRequestError, decode
+from archhatch.control.api_requests import MAX_REVISION, InvalidRequestError, decode
 from archhatch.control.config_commands import MAX_AHEAD_REFUSALS, MAX_APPLIED_DIGESTS
 from archhatch.control.registers import commands
 from archhatch.runtime import Counters
@@ -72,7 +72,7 @@
         ({"If-Match": "-1"}, b'{"Revision":1}', 2015),
         ({"If-Match": "1_0"}, b'{"Revision":1}', 2015),
         ({"If-Match": "9" * 40}, b'{"Revision":1}', 2015),
-        ({"If-Match": str(MOST_VERSION + 1)}, b'{"Revision":1}', 2015),
+        ({"If-Match": str(MAX_REVISION + 1)}, b'{"Revision":1}', 2015),
         ({"If-Match": "0"}, b'{"Revision":0}', 2002),
         ({"If-Match": "0"}, b'{"Revision":-3}', 2002),
         ({"If-Match": "0"}, b'{"Revision":1.0}', 2002),
--- a/tests/control/test_control_safety.py
+++ b/tests/control/test_control_safety.py
@@ -34,15 +34,15 @@
 def test_contact_is_proven_by_answers_alone(answers, now, reached):
     contact = MajorityContact(BOUND)
     for node, sent_at in answers.items():
-        contact.note(node, sent_at, {})
-    assert contact.reached("a", {"voters": VOTERS, "prev": None}, now) is reached
+        contact.record_answer(node, sent_at, {})
+    assert contact.has_majority("a", {"voters": VOTERS, "prev": None}, now) is reached
 
 
 def test_an_older_answer_does_not_undo_a_newer_one():
     contact = MajorityContact(BOUND)
-    contact.note("b", 5.0, {"plan": 7})
-    contact.note("b", 4.0, {"plan": 6})
-    assert contact.newest("plan", VOTERS, 5.5) == 7 and contact.newest("plan", VOTERS, 6.0) == -1
+    contact.record_answer("b", 5.0, {"plan": 7})
+    contact.record_answer("b", 4.0, {"plan": 6})
+    assert contact.newest_accepted("plan", VOTERS, 5.5) == 7 and contact.newest_accepted("plan", VOTERS, 6.0) == -1
 
 
 GATES = [  # why, what is seen in turn: (time, majority reached, registers behind), whether it serves after each
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize("why, seen, serves", GATES, ids=[g[0] for g in GATES])
 def test_what_opens_and_shuts_the_gate(why, seen, serves):
     gate = ServingGate(BOUND)
-    assert [gate.look(reached, set(behind), at) for at, reached, behind in seen] == serves
+    assert [gate.update(reached, set(behind), at) for at, reached, behind in seen] == serves
 
 
 SIZE3, SIZE5, WAIT = GroupSize.for_losses(1), GroupSize.for_losses(2), UnreachableTimeouts(1.5, 6.0)
@@ -208,7 +208,7 @@
     registers = Registers(node)
     registers.known["plan"] = {"stamp": 4, "val": {}, "voters": VOTERS, "prev": None}
     registers.owners = lambda shard: list("abc")
-    node.contact.note("c", clock.now(), {"plan": 5})
+    node.contact.record_answer("c", clock.now(), {"plan": 5})
     assert not registers.overdue("plan")
     clock.at += waits
     assert registers.overdue("plan") is overdue
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -8,7 +8,7 @@
 from tests.support.fakes import HandClock
 
 from archhatch.control.feed import ConfigFeed
-from archhatch.control.history import KEEP_CHANGES, RegisterHistory
+from archhatch.control.history import MAX_CHANGES, RegisterHistory
 from archhatch.membership import ConfigWatcher
 from archhatch.membership.delta import apply, apply_all, diff
 from archhatch.runtime import StateBoard, Counters
@@ -67,12 +67,15 @@
 def test_a_history_keeps_only_as_much_as_pays():
     history, fill = RegisterHistory(), "." * 9000
     for version in range(1, 200):
-        history.note(version, {"n": version, "fill": fill})
-    assert len(history.since(199 - KEEP_CHANGES)) == KEEP_CHANGES and history.since(198 - KEEP_CHANGES) is None
-    history.note(200, {"n": 200, "fill": "-" * 4000})  # longer than half of the whole: nobody is served by it
-    assert history.since(199) is None and history.since(200) == []
-    history.note(150, {"n": 150})  # a register never goes back; should it, then no change counts any more
-    assert history.since(200) is None
+        history.add(version, {"n": version, "fill": fill})
+    assert (
+        len(history.changes_since(199 - MAX_CHANGES)) == MAX_CHANGES
+        and history.changes_since(198 - MAX_CHANGES) is None
+    )
+    history.add(200, {"n": 200, "fill": "-" * 4000})  # longer than half of the whole: nobody is served by it
+    assert history.changes_since(199) is None and history.changes_since(200) == []
+    history.add(150, {"n": 150})  # a register never goes back; should it, then no change counts any more
+    assert history.changes_since(200) is None
 
 
 class FeedWorld:
--- a/tests/region_policy/test_region_policy.py
+++ b/tests/region_policy/test_region_policy.py
@@ -13,7 +13,7 @@
 from archhatch.region_policy.errors import PolicyError
 from archhatch.region_policy.patterns import fits, meet
 from archhatch.region_policy.reader import read_policy
-from archhatch.control.api_requests import InvalidRequestError, OnPolicy, decode
+from archhatch.control.api_requests import InvalidRequestError, PolicyRequest, decode
 from archhatch.control.registers import commands, feed_view
 from archhatch.upstream import LoadBalancer
 
@@ -566,7 +566,7 @@
 )
 def test_calls(method, path, heads, body, name):
     cmd = decode(method, path, heads, body)
-    assert type(cmd) is OnPolicy and cmd.name == name
+    assert type(cmd) is PolicyRequest and cmd.command == name
     if name == "region.out":
         assert (cmd.args["region"], cmd.args["rule"], cmd.args["epoch"]) == ("a/b", "*", 3)
 
