--- a/archhatch/control/node.py
+++ b/archhatch/control/node.py
@@ -160,7 +160,7 @@
 
     def disk_takes(self) -> bool:
         """Whether this node's log takes records: the last write went through, and none has waited for long."""
-        return self.wal.healthy and self.wal.oldest_write_age_s(self.clock.now()) < self.quiet_s
+        return self.wal.is_healthy and self.wal.oldest_write_age_s(self.clock.now()) < self.quiet_s
 
     def has_majority_contact(self) -> bool:
         """Whether a majority of the configuration's group answered this node within the bound."""
@@ -187,7 +187,7 @@
             "voters": len(voters),
             "least_voters": self.registers.size.minimum,
             "up": sum(1 for v in voters if v == self.id or self.contact.has_contact(v, now)),
-            "damaged": self.wal.damaged,
+            "damaged": self.wal.is_damaged,
             "stamps": self.registers.versions(),
             "silent": silent,
         }
--- a/archhatch/wal/__init__.py
+++ b/archhatch/wal/__init__.py
@@ -1,25 +1,24 @@
-"""The append-only file: checksummed records, synced before anyone is told.
+"""A write-ahead log: an append-only file of checksummed records, synced before an append returns.
 
 Each kind of failure has one rule.
 
-- **A write fails** (a full disk, a short write): the length is set back, nobody is told ok, and the next append
-  writes over the place. The log stays in use; `healthy` is false until a write goes through again.
-- **Setting the length back fails, or a sync fails**: the generation is given up. A failed sync is never tried again
-  on the same pages, since the system may have dropped them. All appends fail, also those that wait, until a rewrite
-  from the owner's `snapshot` into a new generation has gone through; the log tries that by itself, with pauses that
-  grow.
-- **A rewrite fails**: the generation before it still holds every acknowledged record and goes on, unless the closing
-  frame may stand on the disk and the new file's removal could not be synced. Then the old one is given up too: at the
-  next start the new one could count, without what was appended to the old one since.
-- **A start fails** on the disk: `load` raises, and the process ends.
+- **A write fails** (a full disk, a short write): the file is truncated to its synced length, the append fails, and the
+  next append writes over the place. The log stays in use; `is_healthy` is false until a write succeeds again.
+- **That truncation fails, or a sync fails**: the generation is abandoned. A failed sync is never retried on the same
+  pages, since the kernel may have dropped them. All appends fail, also those that wait, until a rewrite from the
+  owner's `snapshot` into a new generation has succeeded; the log tries that by itself, with exponential backoff.
+- **A rewrite fails**: the previous generation still holds every acknowledged record and stays in use, unless the
+  closing frame may be on the disk and the new file's removal could not be synced. Then the previous one is abandoned
+  too: the new file could count at the next start, without what was appended to the previous one since.
+- **Opening fails** on the disk: `load` raises, and the process ends.
 
 A rewrite makes a new file NAME.N, syncs its records, then writes a closing frame (their number and a checksum), syncs
-it, syncs the folder, and only then removes the file before it. At a start the newest complete file counts; it and its
-folder are synced before a record is given out, for a process that was killed may leave records that no sync covered.
+it, syncs the directory, and only then removes the previous file. At a start the newest complete file counts; it and its
+directory are synced before a record is returned, for a process that was killed may leave records that no sync covered.
 
-A process may also die between a failed sync and what follows it. Its next start could take those records for synced,
-so it writes the end of the file again before its own sync. One case stays open: the failed write was longer than that
-end (4 MB).
+A process may also die between a failed sync and the truncation after it. Its next start could take those records for
+synced, so it writes the tail of the file again before its own sync. One case stays open: the failed write was longer
+than that tail (4 MiB).
 """
 
 from .errors import (
@@ -27,11 +26,11 @@
     LogClosedError,
     LogError,
     LogRewriteError,
-    LogSetBackError,
     LogSyncError,
+    LogTruncateError,
     LogWriteError,
 )
-from .files import OsFiles
+from .files import LogFiles, OsFiles
 from .generations import generation_number
 from .log import WriteAheadLog
 from .records import pack_record
@@ -42,9 +41,10 @@
     "LogBrokenError",
     "LogClosedError",
     "LogError",
+    "LogFiles",
     "LogRewriteError",
-    "LogSetBackError",
     "LogSyncError",
+    "LogTruncateError",
     "LogWriteError",
     "OsFiles",
     "ThreadWorker",
--- a/archhatch/wal/errors.py
+++ b/archhatch/wal/errors.py
@@ -1,45 +1,51 @@
-"""What can go wrong with a write-ahead log; the rule for each kind stands in the package's documentation."""
+"""Errors of a write-ahead log; the rule for each kind of failure is in the package's documentation."""
 
 from __future__ import annotations
 
+from ..exceptions import ArchhatchError
 
-class LogError(Exception):
-    """The records of this call are not acknowledged; `counter` names the kind of failure among the counters."""
+
+class LogError(ArchhatchError):
+    """The records of this call are not acknowledged.
+
+    Attributes:
+        counter: The name under which this kind of failure is counted.
+    """
 
     counter = "wal.failed"
 
 
 class LogWriteError(LogError):
-    """A write failed and the length was set back: nothing of it is left, and the next append may go through."""
+    """A write failed and was truncated away: nothing of it is left, and the next append may succeed."""
 
     counter = "wal.write_failed"
 
 
-class LogSetBackError(LogError):
-    """A write failed, and so did setting the length back: the generation is given up."""
+class LogTruncateError(LogError):
+    """A write failed, and so did the truncation after it: the generation is abandoned."""
 
-    counter = "wal.set_back_failed"
+    counter = "wal.truncate_failed"
 
 
 class LogSyncError(LogError):
-    """A sync failed, so nobody knows what the disk has of these pages: the generation is given up."""
+    """A sync failed, so it is unknown what the disk holds of these pages: the generation is abandoned."""
 
     counter = "wal.sync_failed"
 
 
 class LogRewriteError(LogError):
-    """A new generation could not be written; the one before it still holds every acknowledged record."""
+    """A new generation could not be written; the previous one still holds every acknowledged record."""
 
     counter = "wal.rewrite_failed"
 
 
 class LogBrokenError(LogError):
-    """The generation was given up, and no newer one has been written yet: all appends are refused."""
+    """The generation was abandoned, and no newer one has been written yet: all appends are refused."""
 
     counter = "wal.refused"
 
 
 class LogClosedError(LogError):
-    """The log takes nothing any more."""
+    """The log was closed and takes no further calls."""
 
     counter = "wal.closed"
--- a/archhatch/wal/files.py
+++ b/archhatch/wal/files.py
@@ -1,12 +1,58 @@
-"""The file calls that a write-ahead log makes, in one place, so that a simulated disk can stand in for them."""
+"""The file calls that a write-ahead log makes, in one place, so that a simulated disk can replace them."""
 
 from __future__ import annotations
 
 import os
+from typing import Protocol
+
+FILE_MODE = 0o644  # owner writes, others read
+
+
+class LogFiles(Protocol):
+    """The file calls of a log. Every call blocks and may raise an OSError; a handle is an open file's number."""
+
+    def makedirs(self, folder: str) -> None:
+        """Creates a directory and its parents where they are missing."""
+
+    def exists(self, path: str) -> bool:
+        """Returns whether a file or directory exists."""
+
+    def listdir(self, folder: str) -> list[str]:
+        """Returns the names in a directory."""
+
+    def open(self, path: str, create: bool) -> int:
+        """Opens a file for reading and writing; with `create` it is created, or emptied."""
+
+    def size(self, handle: int) -> int:
+        """Returns the length of a file in bytes."""
+
+    def pread(self, handle: int, count: int, offset: int, /) -> bytes:
+        """Reads at most `count` bytes from an offset."""
+
+    def pwrite(self, handle: int, data: memoryview, offset: int, /) -> int:
+        """Writes at an offset and returns the number of bytes taken."""
+
+    def truncate(self, handle: int, size: int) -> None:
+        """Sets the length of a file."""
+
+    def datasync(self, handle: int) -> None:
+        """Syncs the contents and the length of a file."""
+
+    def sync(self, handle: int) -> None:
+        """Syncs a file with all its metadata."""
+
+    def close(self, handle: int) -> None:
+        """Closes a file."""
+
+    def remove(self, path: str) -> None:
+        """Removes a file; durable once the directory is synced."""
+
+    def sync_folder(self, folder: str) -> None:
+        """Syncs the names in a directory."""
 
 
 class OsFiles:
-    """Files of the operating system; every call blocks, and fails with an OSError.
+    """The `LogFiles` of the operating system.
 
     >>> import tempfile
     >>> files, folder = OsFiles(), tempfile.mkdtemp()
@@ -17,56 +63,56 @@
     """
 
     def makedirs(self, folder: str) -> None:
-        """Make a folder and those above it, if they are not there."""
+        """Creates a directory and its parents where they are missing."""
         os.makedirs(folder, exist_ok=True)
 
     def exists(self, path: str) -> bool:
-        """Whether a file or folder is there."""
+        """Returns whether a file or directory exists."""
         return os.path.exists(path)
 
     def listdir(self, folder: str) -> list[str]:
-        """The names in a folder."""
+        """Returns the names in a directory."""
         return os.listdir(folder)
 
     def open(self, path: str, create: bool) -> int:
-        """Open a file for reading and writing; with create it is made, or emptied."""
+        """Opens a file for reading and writing; with `create` it is created, or emptied."""
         flags = os.O_RDWR | (os.O_CREAT | os.O_TRUNC if create else 0)
-        return os.open(path, flags, 0o644)
+        return os.open(path, flags, FILE_MODE)
 
     def size(self, handle: int) -> int:
-        """The length of a file."""
+        """Returns the length of a file in bytes."""
         return os.fstat(handle).st_size
 
-    def pread(self, handle: int, count: int, at: int) -> bytes:
-        """At most count bytes from a position."""
-        return os.pread(handle, count, at)
+    def pread(self, handle: int, count: int, offset: int, /) -> bytes:
+        """Reads at most `count` bytes from an offset."""
+        return os.pread(handle, count, offset)
 
-    def pwrite(self, handle: int, data, at: int) -> int:
-        """Write at a position; how many bytes were taken."""
-        return os.pwrite(handle, data, at)
+    def pwrite(self, handle: int, data: memoryview | bytes, offset: int, /) -> int:
+        """Writes at an offset and returns the number of bytes taken."""
+        return os.pwrite(handle, data, offset)
 
     def truncate(self, handle: int, size: int) -> None:
-        """Set the length of a file."""
+        """Sets the length of a file."""
         os.ftruncate(handle, size)
 
     def datasync(self, handle: int) -> None:
-        """Have the bytes and the length of a file on the disk."""
+        """Syncs the contents and the length of a file."""
         os.fdatasync(handle)
 
     def sync(self, handle: int) -> None:
-        """Have all of a file on the disk."""
+        """Syncs a file with all its metadata."""
         os.fsync(handle)
 
     def close(self, handle: int) -> None:
-        """Give a handle back."""
+        """Closes a file."""
         os.close(handle)
 
     def remove(self, path: str) -> None:
-        """Remove a file; lasts once the folder is synced."""
+        """Removes a file; durable once the directory is synced."""
         os.remove(path)
 
     def sync_folder(self, folder: str) -> None:
-        """Have the names in a folder on the disk."""
+        """Syncs the names in a directory."""
         handle = os.open(folder, os.O_RDONLY)
         try:
             os.fsync(handle)
--- a/archhatch/wal/log.py
+++ b/archhatch/wal/log.py
@@ -1,200 +1,228 @@
-"""A write-ahead log: appends are grouped, written and synced together, beside the event loop."""
+"""A write-ahead log: appends are grouped, written and synced together, off the event loop."""
 
 from __future__ import annotations
 
 import asyncio
 import sys
-from collections.abc import Callable, Iterable, Iterator
-from dataclasses import dataclass, field
+from collections.abc import Awaitable, Callable, Iterator
+from typing import TYPE_CHECKING
 
 from ..runtime import Clock, Counters
 from .errors import LogBrokenError, LogClosedError, LogError
-from .files import OsFiles
+from .files import LogFiles, OsFiles
 from .generations import Generations
-from .worker import ThreadWorker
+from .requests import LogRequest, RequestQueue, Snapshot
+from .worker import ThreadWorker, Worker
 
-FIRST_PAUSE_S = 0.05  # before a log that fails tries its disk again; each further pause is twice as long
-LONGEST_PAUSE_S = 1.0
+if TYPE_CHECKING:
+    from loguru import Logger
 
-Snapshot = Callable[[], Iterable[bytes]]
-
-
-@dataclass(slots=True, eq=False)
-class _Job:
-    """One call that waits for the disk: records to append, a snapshot to rewrite from, or neither to probe the disk."""
-
-    since: float
-    done: asyncio.Future
-    raws: tuple = ()
-    snapshot: Snapshot | None = None
-    told: bool = False  # the future has its result; its waiter may not have run yet
-
-
-@dataclass(slots=True)
-class _Queue:
-    appends: list[_Job] = field(default_factory=list)
-    others: list[_Job] = field(default_factory=list)  # rewrites and probes, which come first
-    at_disk: list[_Job] = field(default_factory=list)
-
-    def all(self) -> list[_Job]:
-        return self.at_disk + self.others + self.appends
+FIRST_RETRY_DELAY_S = 0.05  # before a log that fails tries its disk again; each further delay is twice as long
+MAX_RETRY_DELAY_S = 1.0  # keeps the time short in which a disk works again and its log still refuses
+DATA_ERROR_CODE = 5001  # the result code for an error in this node (docs/codes.md)
 
 
 class WriteAheadLog:
-    """An append-only file in a folder; rewritten, as a new generation, when it gets long.
+    """An append-only file in a directory; rewritten, as a new generation, when it gets long.
 
-    The owner applies a record to its own state in the very step in which `append` returns (it awaits `append`
+    The owner applies a record to its own state in the same step in which `append` returns (it awaits `append`
     directly, not through another task), and sets `snapshot` to a callable that gives the records of exactly that
     state. The log calls it only when every acknowledged record has been applied and none is on its way, so a rewrite
     loses nothing. What it gives is read in another thread: it must not change any more.
 
-    >>> # log = WriteAheadLog("/data/x"); state.load(log.load()); log.snapshot = state.snapshot; log.start()
+    >>> import tempfile
+    >>> async def append_and_load():
+    ...     folder = tempfile.mkdtemp()
+    ...     wal = WriteAheadLog(folder, "core")
+    ...     records = list(wal.load())
+    ...     wal.snapshot = lambda: records
+    ...     wal.start()
+    ...     await wal.append(b"a", b"b")
+    ...     await wal.close()
+    ...     return list(WriteAheadLog(folder, "core").load())
+    >>> asyncio.run(append_and_load())
+    [b'a', b'b']
+
+    Attributes:
+        log: Takes log lines, or None.
+        counters: Counts failures.
+        clock: Tells the ages of waiting calls and of the last sync.
+        limit_bytes: How long the file should get; 0 for no limit. The owner enforces it.
+        snapshot: Gives the records of a rewrite; without it the log cannot recover from a failed sync by itself.
+        is_damaged: Whether opening found invalid bytes before valid records.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - each collaborator is a keyword of its own
         self,
         folder: str,
         name: str = "tolls",
-        log=None,
-        files=None,
+        log: Logger | None = None,
+        files: LogFiles | None = None,
         *,
-        clock=None,
-        counters=None,
-        sleep=asyncio.sleep,
-        worker=None,
+        clock: Clock | None = None,
+        counters: Counters | None = None,
+        sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
+        worker: Worker | None = None,
         limit_bytes: int = 0,
-    ):
-        self.log, self.counters, self.clock = log, counters or Counters(), clock or Clock()
+    ) -> None:
+        self.log = log
+        self.counters = counters or Counters()
+        self.clock = clock or Clock()
         self.limit_bytes = limit_bytes
         self.snapshot: Snapshot | None = None
-        self.damaged = False
+        self.is_damaged = False
         self._sleep = sleep
         self._generations = Generations(files or OsFiles(), folder, name)
-        self._worker = worker or ThreadWorker()
-        self._queue = _Queue()
-        self._wake: asyncio.Event | None = None
-        self._settled: asyncio.Event | None = None
-        self._turned: asyncio.Event | None = None  # the log's health changed
+        self._worker: Worker = worker or ThreadWorker()
+        self._queue = RequestQueue()
+        # made by start(), in the event loop
+        self._submitted: asyncio.Event
+        self._applied: asyncio.Event
+        self._health_changed: asyncio.Event
         self._tasks: list[asyncio.Task] = []
-        self._unsettled = 0  # calls that have their result and have not returned yet
-        self._failing = self._broken = self._closed = False
+        self._unapplied = 0  # calls that have their result and have not returned yet
+        self._is_failing = False
+        self._is_broken = False
+        self._is_closed = False
         self._synced_at = self.clock.now()
 
-    # -- what others may know
+    # -- state
 
     @property
     def path(self) -> str:
         """The file that counts."""
-        current = self._generations.current
-        return current.path if current is not None else self._generations.path_of(0)
+        return self._generations.current_path
 
     @property
     def size(self) -> int:
         """The synced bytes of the file that counts."""
-        current = self._generations.current
-        return current.size if current is not None else 0
+        return self._generations.current_size
 
     @property
-    def broken(self) -> bool:
-        """Whether the generation was given up, so that all appends are refused."""
-        return self._broken
+    def is_broken(self) -> bool:
+        """Whether the generation was abandoned, so that all appends are refused."""
+        return self._is_broken
 
     @property
-    def healthy(self) -> bool:
-        """Whether the last that was tried at the disk went through."""
-        return not self._broken and not self._failing
+    def is_healthy(self) -> bool:
+        """Whether the last call to the disk succeeded."""
+        return not self._is_broken and not self._is_failing
 
     def last_sync_age_s(self, now: float) -> float:
-        """Seconds since a sync went through (or since the log was made)."""
+        """Returns the seconds since the last successful sync, or since the log was made."""
         return max(0.0, now - self._synced_at)
 
     def oldest_write_age_s(self, now: float) -> float:
-        """Seconds that the oldest unfinished call has waited; 0 if there is none. A stalled disk shows here."""
-        return max((now - job.since for job in self._queue.all()), default=0.0)
+        """Returns how long the oldest unfinished call has waited; 0 if there is none. A stalled disk shows here."""
+        return max((now - request.submitted_at for request in self._queue.all()), default=0.0)
 
     def free_bytes(self) -> int:
-        """Bytes that the file may still grow by; as good as endless without a limit."""
+        """Returns by how much the file may still grow; `sys.maxsize` without a limit."""
         return max(0, self.limit_bytes - self.size) if self.limit_bytes else sys.maxsize
 
-    # -- life
+    # -- calls
 
     def load(self) -> Iterator[bytes]:
-        """Open the log and give its records, which are read as they are taken; take them all before start()."""
+        """Opens the log.
+
+        Returns:
+            Its records, which are read as they are taken; take them all before `start`.
+
+        Raises:
+            LogError: The disk failed.
+        """
         opened = self._generations.open()
-        self.damaged = opened.damaged
-        if opened.damaged:
+        self.is_damaged = opened.is_damaged
+        if opened.is_damaged:
             self.counters.add("wal.damaged")
-            self._say(
+            self._log_event(
                 "error",
-                "code 5001 log {}: damage before good records; kept as {}",
+                "code {} log {}: damaged before valid records, copy={}",
+                DATA_ERROR_CODE,
                 self.path,
                 self._generations.damaged_path,
             )
-        if opened.cut:
-            self._say("warning", "log {}: cut {} bytes behind the last good record", self.path, opened.cut)
+        if opened.truncated_bytes:
+            self._log_event("warning", "log {}: invalid tail truncated, bytes={}", self.path, opened.truncated_bytes)
         return self._generations.records()
 
     def start(self) -> None:
-        """Begin taking appends; needs a running loop."""
-        self._wake, self._settled, self._turned = asyncio.Event(), asyncio.Event(), asyncio.Event()
+        """Begins to take appends; needs a running event loop."""
+        self._submitted = asyncio.Event()
+        self._applied = asyncio.Event()
+        self._health_changed = asyncio.Event()
         loop = asyncio.get_running_loop()
-        self._tasks = [loop.create_task(self._work()), loop.create_task(self._recover())]
+        self._tasks = [loop.create_task(self._process_requests()), loop.create_task(self._recover())]
+
+    async def append(self, *records: bytes) -> None:
+        """Appends records; returns when they are synced.
 
-    async def append(self, *raws: bytes) -> None:
-        """Append records; returns when they are synced. After a LogError none of them is acknowledged."""
-        if self._broken:
+        Raises:
+            LogError: None of the records is acknowledged.
+        """
+        if self._is_broken:
             self.counters.add(LogBrokenError.counter)
-            raise LogBrokenError(f"{self.path}: given up until a new generation stands")
-        await self._wait(self._queue.appends, raws=raws)
+            raise LogBrokenError(f"{self.path}: abandoned, and no new generation is complete")
+        await self._submit(self._queue.appends, records=records)
 
     async def rewrite(self, snapshot: Snapshot | None = None) -> None:
-        """Write a new generation from a snapshot, the owner's own by default; what waits goes behind it."""
+        """Writes a new generation; waiting appends go behind it.
+
+        Args:
+            snapshot: Gives its records; the owner's `snapshot` by default.
+
+        Raises:
+            LogError: The new generation does not count.
+            TypeError: There is no snapshot to call.
+        """
         snapshot = snapshot or self.snapshot
         if not callable(snapshot):
             raise TypeError("rewrite() needs a callable: records gathered earlier may lack what was synced since")
-        await self._wait(self._queue.others, snapshot=snapshot)
+        await self._submit(self._queue.others, snapshot=snapshot)
 
     async def close(self) -> None:
-        """End; what still waits gets a LogClosedError, and a call that is at the disk runs to its end first."""
-        self._closed = True
+        """Ends; what still waits gets a LogClosedError, and a call that is at the disk runs to its end first."""
+        self._is_closed = True
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._finish(self._queue.all(), LogClosedError(f"{self.path}: closed"))
-        self._queue = _Queue()
+        self._queue = RequestQueue()
         await self._worker.close()
         self._generations.close()
 
-    # -- the queue
+    # -- requests
 
-    async def _wait(self, queue: list[_Job], **what) -> None:
-        if self._closed:
+    async def _submit(
+        self, queue: list[LogRequest], records: tuple[bytes, ...] = (), snapshot: Snapshot | None = None
+    ) -> None:
+        if self._is_closed:
             raise LogClosedError(f"{self.path}: closed")
-        job = _Job(self.clock.now(), asyncio.get_running_loop().create_future(), **what)
-        queue.append(job)
-        self._wake.set()
+        request = LogRequest(self.clock.now(), asyncio.get_running_loop().create_future(), records, snapshot)
+        queue.append(request)
+        self._submitted.set()
         try:
-            await job.done
+            await request.done
         finally:
-            if job.told:
-                self._unsettled -= 1
-                self._settled.set()
-
-    def _finish(self, jobs: list[_Job], fault: Exception | None = None) -> None:
-        for job in jobs:
-            if job.done.done():
-                continue  # whoever waited was cancelled
-            job.told = True
-            self._unsettled += 1
-            if fault is None:
-                job.done.set_result(None)
+            if request.has_result:
+                self._unapplied -= 1
+                self._applied.set()
+
+    def _finish(self, requests: list[LogRequest], error: Exception | None = None) -> None:
+        for request in requests:
+            if request.done.done():
+                continue  # its caller was cancelled
+            request.has_result = True
+            self._unapplied += 1
+            if error is None:
+                request.done.set_result(None)
             else:
-                job.done.set_exception(fault)
+                request.done.set_exception(error)
 
-    async def _work(self) -> None:
+    async def _process_requests(self) -> None:
         while True:
-            await self._wake.wait()
-            self._wake.clear()
+            await self._submitted.wait()
+            self._submitted.clear()
             while self._queue.others or self._queue.appends:
                 if self._queue.others:
                     await self._run_other(self._queue.others.pop(0))
@@ -202,84 +230,90 @@
                     await self._append_all()
 
     async def _append_all(self) -> None:
-        jobs, self._queue.appends = self._queue.appends, []
-        if self._broken:
-            self.counters.add(LogBrokenError.counter, len(jobs))
-            self._finish(jobs, LogBrokenError(f"{self.path}: given up until a new generation stands"))
+        """Writes all waiting appends with one sync."""
+        requests = self._queue.appends
+        self._queue.appends = []
+        if self._is_broken:
+            self.counters.add(LogBrokenError.counter, len(requests))
+            self._finish(requests, LogBrokenError(f"{self.path}: abandoned, and no new generation is complete"))
             return
-        raws = [raw for job in jobs for raw in job.raws]
-        if not raws:
-            self._finish(jobs)  # nothing to write, and all that came earlier is synced
+        records = [record for request in requests for record in request.records]
+        if not records:
+            self._finish(requests)  # nothing to write, and all earlier appends are synced
             return
-        await self._at_disk(jobs, self._generations.append, raws)
+        await self._run_at_disk(requests, self._generations.append, records)
 
-    async def _run_other(self, job: _Job) -> None:
-        self._queue.at_disk = [job]
-        if job.snapshot is None:
-            await self._at_disk([job], self._generations.probe)
+    async def _run_other(self, request: LogRequest) -> None:
+        """Runs a rewrite or a probe."""
+        self._queue.at_disk = [request]
+        if request.snapshot is None:
+            await self._run_at_disk([request], self._generations.probe)
             return
-        while self._unsettled:  # whoever was told has not applied it yet
-            self._settled.clear()
-            await self._settled.wait()
+        while self._unapplied:  # a snapshot taken now would lack acknowledged records
+            self._applied.clear()
+            await self._applied.wait()
         try:
-            records = job.snapshot()
-        except Exception as fault:  # the owner's fault, and its to hear of
+            records = request.snapshot()
+        except Exception as error:  # noqa: BLE001 - the owner's code may raise anything; its caller gets it
             self._queue.at_disk = []
-            self._finish([job], fault)
+            self._finish([request], error)
             return
-        await self._at_disk([job], self._generations.rewrite, records)
+        await self._run_at_disk([request], self._generations.rewrite, records)
 
-    async def _at_disk(self, jobs: list[_Job], call, *args) -> None:
-        """Have the disk do one thing; its outcome is that of all these jobs."""
-        self._queue.at_disk = jobs
-        fault = None
+    async def _run_at_disk(self, requests: list[LogRequest], call: Callable[..., None], *args: object) -> None:
+        """Runs one blocking call; its outcome is that of all these requests."""
+        self._queue.at_disk = requests
+        error: Exception | None = None
         try:
             await self._worker.run(call, *args)
-        except Exception as error:  # a snapshot may fail in any way; the log goes on
-            fault = error
+        except Exception as raised:  # noqa: BLE001 - a snapshot is read here and may raise anything; the log goes on
+            error = raised
         self._queue.at_disk = []
-        self._note(fault)
-        self._finish(jobs, fault)
+        self._note_outcome(error)
+        self._finish(requests, error)
 
     # -- health
 
-    def _note(self, fault: Exception | None) -> None:
-        """Take down what came of a call at the disk; say so if the log's health changed."""
-        before, was_broken = self.healthy, self._broken
-        self._broken = self._generations.current.lost
-        if fault is None:
+    def _note_outcome(self, error: Exception | None) -> None:
+        """Updates the log's health after a call to the disk, and logs a change of it."""
+        was_healthy = self.is_healthy
+        was_broken = self._is_broken
+        self._is_broken = self._generations.current.is_abandoned
+        if error is None:
             self._synced_at = self.clock.now()
-            self._failing = False
+            self._is_failing = False
         else:
-            self._failing = self._failing or isinstance(fault, LogError)
-            self.counters.add(getattr(fault, "counter", LogError.counter))
-        if self._broken and not was_broken:
-            self.counters.add("wal.given_up")
-        if self.healthy == before:
+            self._is_failing = self._is_failing or isinstance(error, LogError)
+            self.counters.add(getattr(error, "counter", LogError.counter))
+        if self._is_broken and not was_broken:
+            self.counters.add("wal.generation_abandoned")
+        if self.is_healthy == was_healthy:
             return
-        self._turned.set()
-        if self.healthy:
+        self._health_changed.set()
+        if self.is_healthy:
             self.counters.add("wal.recovered")
-            self._say("info", "log {}: the disk takes records again", self.path)
+            self._log_event("info", "log {}: recovered, the disk takes records again", self.path)
         else:
-            self._say("error", "log {}: {}{}", self.path, "given up: " if self._broken else "", fault)
+            outcome = "generation abandoned" if self._is_broken else "disk failed"
+            self._log_event("error", "log {}: {}, error={}", self.path, outcome, error)
 
     async def _recover(self) -> None:
-        """While the disk fails, try it again by and by: with a new generation if this one was given up."""
-        pause = FIRST_PAUSE_S
+        """While the disk fails, tries it again with backoff: with a new generation if this one was abandoned."""
+        delay_s = FIRST_RETRY_DELAY_S
         while True:
-            if self.healthy or (self._broken and self.snapshot is None):  # without a snapshot the owner must rewrite
-                pause = FIRST_PAUSE_S
-                self._turned.clear()
-                await self._turned.wait()
+            must_owner_rewrite = self._is_broken and self.snapshot is None
+            if self.is_healthy or must_owner_rewrite:
+                delay_s = FIRST_RETRY_DELAY_S
+                self._health_changed.clear()
+                await self._health_changed.wait()
                 continue
-            await self._sleep(pause)
-            pause = min(LONGEST_PAUSE_S, pause * 2)
+            await self._sleep(delay_s)
+            delay_s = min(MAX_RETRY_DELAY_S, delay_s * 2)
             try:
-                await self._wait(self._queue.others, snapshot=self.snapshot if self._broken else None)
-            except Exception:
-                continue  # counted where it failed
+                await self._submit(self._queue.others, snapshot=self.snapshot if self._is_broken else None)
+            except Exception:  # noqa: BLE001 - the top of a task; counted where it failed, and tried again
+                continue
 
-    def _say(self, level: str, line: str, *args) -> None:
+    def _log_event(self, level: str, message: str, *args: object) -> None:
         if self.log is not None:
-            getattr(self.log, level)(line, *args)
+            getattr(self.log, level)(message, *args)
--- a/archhatch/wal/records.py
+++ b/archhatch/wal/records.py
@@ -1,7 +1,7 @@
 """The frames of a write-ahead log: a mark that names the kind, the length, a checksum, the bytes.
 
-A record's frame bears what the owner appended. A closing frame ends what a rewrite put into a new generation: it
-bears the number of records before it and a checksum over all their heads, each of which holds its record's length and
+A record's frame holds what the owner appended. A closing frame ends what a rewrite put into a new generation: it holds
+the number of records before it and a checksum over all their headers, each of which holds its record's length and
 checksum.
 """
 
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-HEAD = struct.Struct(">III")
-_CLOSING = struct.Struct(">QI")
-CLOSING_BYTES = HEAD.size + _CLOSING.size  # the whole closing frame
+HEADER = struct.Struct(">III")  # mark, length of the body, CRC-32 of the body
+_CLOSING_BODY = struct.Struct(">QI")  # number of records, CRC-32 over their headers
+CLOSING_FRAME_BYTES = HEADER.size + _CLOSING_BODY.size
 
 
 class FrameKind(IntEnum):
@@ -26,48 +26,66 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One good frame: where it ends, its head, and what it bears."""
+    """One valid frame.
+
+    Attributes:
+        kind: What it holds.
+        end: The offset behind its last byte.
+        header: Its encoded header.
+        body: The bytes that it holds.
+    """
 
     kind: FrameKind
     end: int
-    head: bytes
+    header: bytes
     body: bytes
 
 
-class Tally:
-    """Counts records and adds up their heads, on the way out and on the way in."""
+class RecordDigest:
+    """Counts records and folds their headers into a checksum; what a closing frame states.
+
+    Attributes:
+        count: The number of records.
+        checksum: The CRC-32 over their headers, in order.
+    """
+
+    __slots__ = ("checksum", "count")
 
-    def __init__(self):
-        self.count = self.checksum = 0
+    def __init__(self) -> None:
+        self.count = 0
+        self.checksum = 0
 
-    def add(self, head: bytes) -> None:
-        """Count one record by its head."""
+    def add(self, header: bytes) -> None:
+        """Adds one record by its header."""
         self.count += 1
-        self.checksum = zlib.crc32(head, self.checksum)
+        self.checksum = zlib.crc32(header, self.checksum)
 
-    def closing(self) -> bytes:
-        """The closing frame for what was counted.
+    def closing_frame(self) -> bytes:
+        """Returns the closing frame for the records added so far.
 
-        >>> len(Tally().closing())
+        >>> len(RecordDigest().closing_frame())
         24
         """
-        body = _CLOSING.pack(self.count, self.checksum)
-        return record_head(body, FrameKind.CLOSING) + body
+        body = self._closing_body()
+        return frame_header(body, FrameKind.CLOSING) + body
+
+    def matches(self, body: bytes) -> bool:
+        """Returns whether the body of a closing frame states exactly these records."""
+        return body == self._closing_body()
 
-    def fits(self, body: bytes) -> bool:
-        """Whether a closing frame bears just these figures."""
-        return body == _CLOSING.pack(self.count, self.checksum)
+    def _closing_body(self) -> bytes:
+        return _CLOSING_BODY.pack(self.count, self.checksum)
 
 
-def record_head(raw: bytes, kind: FrameKind = FrameKind.RECORD) -> bytes:
-    """The head that goes before these bytes."""
-    return HEAD.pack(kind, len(raw), zlib.crc32(raw))
+def frame_header(body: bytes, kind: FrameKind = FrameKind.RECORD) -> bytes:
+    """Returns the header that precedes these bytes."""
+    return HEADER.pack(kind, len(body), zlib.crc32(body))
 
 
-def pack_record(raw: bytes) -> bytes:
-    """One record, ready to be appended.
+def pack_record(record: bytes) -> bytes:
+    """Returns one record as the bytes of its frame.
 
     >>> len(pack_record(b"abc"))
     15
     """
-    return record_head(raw) + raw
+    return frame_header(record) + record
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -94,7 +94,7 @@
         shutil.copyfile(DATA / f"frames.{stage}", place / name)
         wal = WriteAheadLog(str(place), "frames")
         out[stage] = [raw.hex() for raw in wal.load()]
-        assert not wal.damaged and pathlib.Path(wal.path).name == name
+        assert not wal.is_damaged and pathlib.Path(wal.path).name == name
         assert (place / name).read_bytes() == kept(f"frames.{stage}")
     return out
 
@@ -124,7 +124,7 @@
     (tmp_path / "frames").write_bytes(kept("frames.appended"))
     (tmp_path / "frames.1").write_bytes(kept("frames.rewritten")[:cut])
     wal = WriteAheadLog(str(tmp_path), "frames")
-    assert list(wal.load()) == records and not wal.damaged
+    assert list(wal.load()) == records and not wal.is_damaged
     assert only_file(tmp_path, "frames")[0] == chosen
 
 
--- a/tests/jobs/test_record_store.py
+++ b/tests/jobs/test_record_store.py
@@ -187,7 +187,7 @@
             for n in range(4, 6)
         ]
         await asyncio.gather(*tasks, return_exceptions=True)
-        while record_store.wal.broken:
+        while record_store.wal.is_broken:
             await asyncio.sleep(0)
         await record_store.append([END])
         await record_store.wal.close()
--- a/tests/wal/test_wal.py
+++ b/tests/wal/test_log.py
@@ -35,7 +35,7 @@
         with open(wal.path, "ab") as f:
             f.write(pack_record(b"torn")[:-2])
         again = WriteAheadLog(str(tmp_path))
-        assert list(again.load()) == [b"a", b"b", b"c"] and not again.damaged
+        assert list(again.load()) == [b"a", b"b", b"c"] and not again.is_damaged
         again.start()
         await again.append(b"d")
         await again.close()
@@ -48,7 +48,7 @@
     path = tmp_path / "tolls"
     path.write_bytes(pack_record(b"a") + b"rot!" + pack_record(b"b"))
     wal = WriteAheadLog(str(tmp_path))
-    assert list(wal.load()) == [b"a"] and wal.damaged
+    assert list(wal.load()) == [b"a"] and wal.is_damaged
     assert (tmp_path / "tolls.damaged").exists()
 
 
--- a/tests/wal/test_wal_faults.py
+++ b/tests/wal/test_log_faults.py
@@ -6,8 +6,8 @@
 from tests.support.simulated_disk import InlineWorker, SimDisk
 
 from archhatch.runtime import Counters
-from archhatch.wal import LogError, LogSetBackError, LogSyncError, LogWriteError, WriteAheadLog, generations
-from archhatch.wal.records import Tally, pack_record
+from archhatch.wal import LogError, LogTruncateError, LogSyncError, LogWriteError, WriteAheadLog, generations
+from archhatch.wal.records import RecordDigest, pack_record
 from archhatch.wal.scan import BytesSource, scan
 
 ENDS = ["kill", 0, 1, "names", "bytes", 2, 3]  # how a process ends: killed, or power lost with this seed
@@ -68,7 +68,9 @@
 
 def check(disk, acked):
     """All that was acknowledged is read, in order, from a generation that is whole; nothing is left lying about."""
-    whole = [path for path, node in disk.names.items() if scan(BytesSource(bytes(node.data))).closing_at is not None]
+    whole = [
+        path for path, node in disk.names.items() if scan(BytesSource(bytes(node.data))).closing_offset is not None
+    ]
     assert whole or "/data/core" in disk.names or not disk.names
     log = WriteAheadLog("/data", "core", files=disk, worker=InlineWorker())
     found = list(log.load())
@@ -137,7 +139,7 @@
 @pytest.mark.parametrize("how, loss", LOSSES)
 def test_the_process_dies_at_each_call(run, monkeypatch, kind, renewed, how, loss):
     if renewed is not None:  # a rewrite must not hang on the end of the file being written again
-        monkeypatch.setattr(generations, "RENEWED_BYTES", renewed)
+        monkeypatch.setattr(generations, "REWRITTEN_TAIL_BYTES", renewed)
 
     async def go():
         for dies in range(1, 200):
@@ -193,9 +195,9 @@
         disk.room = 40
         with pytest.raises(LogWriteError):
             await owner.log.append(b"b" * 20)
-        assert not owner.log.healthy and not owner.log.broken and owner.log.size == 32
+        assert not owner.log.is_healthy and not owner.log.is_broken and owner.log.size == 32
         disk.room = None
-        while not owner.log.healthy:
+        while not owner.log.is_healthy:
             await asyncio.sleep(0)
         await owner.put(b"b" * 20)
         await owner.log.close()
@@ -206,7 +208,7 @@
 
 
 @pytest.mark.parametrize(
-    "failing, fault", [({"datasync", "sync"}, LogSyncError), ({"pwrite", "truncate"}, LogSetBackError)]
+    "failing, fault", [({"datasync", "sync"}, LogSyncError), ({"pwrite", "truncate"}, LogTruncateError)]
 )
 def test_a_generation_that_was_given_up_takes_nothing_until_a_new_one_stands(run, failing, fault):
     async def go():
@@ -219,9 +221,9 @@
         with pytest.raises(fault):
             await owner.log.append(b"b")
         await asyncio.gather(owner.put(b"c"), owner.put(b"d"))
-        assert owner.log.broken and owner.refused == [b"c", b"d"] and owner.counters.all["wal.refused"] == 2
+        assert owner.log.is_broken and owner.refused == [b"c", b"d"] and owner.counters.all["wal.refused"] == 2
         disk.fails = lambda kind, n: False
-        while owner.log.broken:
+        while owner.log.is_broken:
             await asyncio.sleep(0)
         await owner.put(b"e")
         await owner.log.close()
@@ -251,9 +253,9 @@
     run(go())
 
 
-CLOSED = Tally()
+CLOSED = RecordDigest()
 CLOSED.add(pack_record(b"new")[:12])
-NEW = pack_record(b"new") + CLOSED.closing()
+NEW = pack_record(b"new") + CLOSED.closing_frame()
 
 
 @pytest.mark.parametrize(
@@ -265,7 +267,7 @@
         ({"core": pack_record(b"old"), "core.2": NEW + pack_record(b"x"), "core.9": b""}, [b"new", b"x"], False),
         ({"core.2": NEW, "core.1": NEW + pack_record(b"older")}, [b"new"], False),  # the older one came back
         ({"core.2": NEW + pack_record(b"x")[:-1]}, [b"new"], False),  # a torn append
-        ({"core": pack_record(b"old"), "core.1": pack_record(b"other") + CLOSED.closing()}, [b"old"], False),
+        ({"core": pack_record(b"old"), "core.1": pack_record(b"other") + CLOSED.closing_frame()}, [b"old"], False),
         ({"core.2": pack_record(b"new") + b"rot" + pack_record(b"x")}, [b"new"], True),
     ],
 )  # nothing complete: salvaged
@@ -273,7 +275,7 @@
     for name, data in files.items():
         (tmp_path / name).write_bytes(data)
     log = WriteAheadLog(str(tmp_path), "core")
-    assert list(log.load()) == found and log.damaged is damaged
+    assert list(log.load()) == found and log.is_damaged is damaged
     left = {log.path.rsplit("/", 1)[1]} | ({"core.damaged"} if damaged else set())
     assert {p.name for p in tmp_path.iterdir()} == left
     assert list(WriteAheadLog(str(tmp_path), "core").load()) == found
