--- a/archhatch/autoscaler/controller.py
+++ b/archhatch/autoscaler/controller.py
@@ -25,7 +25,7 @@
 class CapacityController:
     """run() looks after every service with `Autoscale`.
 
-    >>> # controller = CapacityController(store); task_group.keep("capacity", controller.run)
+    >>> # controller = CapacityController(store); task_group.run_forever("capacity", controller.run)
     """
 
     def __init__(self, store, platform: PlatformClient | None = None):
@@ -107,7 +107,7 @@
     def _start(self, subject: str, number: int, order: dict) -> None:
         task = self._sending.get(subject)
         if task is None or task.done():
-            self._sending[subject] = self.store.task_group.once("capacity", self._order, subject, number, order)
+            self._sending[subject] = self.store.task_group.spawn("capacity", self._order, subject, number, order)
 
     async def _order(self, subject: str, number: int, order: dict) -> None:
         try:
--- a/archhatch/capacity/probes/batch_jobs.py
+++ b/archhatch/capacity/probes/batch_jobs.py
@@ -144,7 +144,7 @@
 
     yield function, 1
     await settle("Replicator._here")
-    await task_group.end()
+    await task_group.cancel_all()
     for k in kept:
         await k.close()
 
--- a/archhatch/capacity/probes/control.py
+++ b/archhatch/capacity/probes/control.py
@@ -136,7 +136,7 @@
                 raise ValueError("a beat told in short was not known")
 
     yield function, 5
-    await here.task_group.end()
+    await here.task_group.cancel_all()
 
 
 @probe("ping.bytes", "bytes", "a framed ping with beats that say nothing new", "beats", (100, 400, 1600))
--- a/archhatch/cli/commands.py
+++ b/archhatch/cli/commands.py
@@ -102,7 +102,7 @@
     wait = asyncio.ensure_future(stop.wait())
     while not stop.is_set():
         await asyncio.wait([wait], timeout=FLAGS.counters_s or None)
-        log.info("counters {} memory_mb={:.0f}", node.counters.line(), memory_mb())
+        log.info("counters {} memory_mb={:.0f}", node.counters.summary(), memory_mb())
         if hup.is_set():
             hup.clear()
             try:
@@ -115,7 +115,7 @@
 
 def _early(settings, name: str):
     """A socket that listens before the rest of the program is loaded: who calls meanwhile waits, and is not refused."""
-    host, port = settings.listen[name].rsplit(":", 1)
+    host, port = settings.bindings[name].rsplit(":", 1)
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((host, int(port)))
@@ -133,7 +133,7 @@
 
 
 def _run(settings, make) -> int:
-    log = open_logs(settings.node, FLAGS.log)
+    log = open_logs(settings.node_name, FLAGS.log)
     try:
         asyncio.run(_live(make(settings, log), settings, log))
     except OSError as e:
@@ -147,7 +147,7 @@
     settings = _boot()
     if settings is None:
         return 2
-    if "FrontHttp" not in settings.listen or "Readiness" not in settings.listen:
+    if "FrontHttp" not in settings.bindings or "Readiness" not in settings.bindings:
         print("archhatch: settings: Bindings: needs FrontHttp and Readiness", file=sys.stderr)
         return 2
     try:
@@ -165,7 +165,7 @@
     settings = _boot()
     if settings is None:
         return 2
-    if "ControlPlane" not in settings.listen:
+    if "ControlPlane" not in settings.bindings:
         print("archhatch: settings: Bindings: needs ControlPlane", file=sys.stderr)
         return 2
     from ..control.node import ControlNode
--- a/archhatch/control/admin_api.py
+++ b/archhatch/control/admin_api.py
@@ -119,7 +119,7 @@
         turn = node.registry.turn
         node.registry.beat(entry, node.clock.now())
         if node.registry.turn != turn:
-            node.state_board.touch("news")
+            node.state_board.notify("news")
         if entry["state"] == "draining":
             await self._push_to_majority(entry)
         return json_result(DONE, {})
@@ -130,7 +130,7 @@
         last = node.registry.all.get(request.replica_id) or _unknown_replica(request.replica_id)
         entry = {**last, "state": "gone", "seq": last["seq"] + 1}
         node.registry.beat(entry, node.clock.now())
-        node.state_board.touch("news")
+        node.state_board.notify("news")
         await self._push_to_majority(entry)
         return json_result(DONE, {})
 
--- a/archhatch/control/agreement.py
+++ b/archhatch/control/agreement.py
@@ -32,7 +32,7 @@
         self.acceptors = {shard: Acceptor(shard, None, node.counters) for shard in SHARDS}
         self.proposers: dict[str, Proposer] = {}
         self.founders: dict | None = None
-        self.size = GroupSize.for_losses(settings.tolerate)
+        self.size = GroupSize.for_losses(settings.tolerated_machines)
         self.patience = UnreachableTimeouts(settings.seconds("ContactMs", 0.5), settings.seconds("ContactMs", 2))
         self._rewritten = 0
         self._open_since: dict[str, float] = {}  # register -> since when a newer version than the one held is known of
@@ -146,8 +146,8 @@
         self.known[shard] = state
         self.chosen[shard] = max(state["stamp"], self.chosen.get(shard, NO_VERSION))
         if shard == PLAN:
-            self.node.state_board.touch("plan")
-        self.node.state_board.touch("news")
+            self.node.state_board.notify("plan")
+        self.node.state_board.notify("news")
         return True
 
     def learn_accepted(self, shard: str, version: int, proposal_number) -> bool:
--- a/archhatch/control/feed.py
+++ b/archhatch/control/feed.py
@@ -37,7 +37,7 @@
         while True:
             if node.leaving or not node.check_serving():
                 raise CallRefusedError(UNREACHED)
-            turn = node.state_board.turn("news")
+            turn = node.state_board.version("news")
             left = end - node.clock.now()
             news = self._news(doc, left <= 0)
             if news is not None:
--- a/archhatch/control/handlers.py
+++ b/archhatch/control/handlers.py
@@ -37,7 +37,7 @@
     @handlers.on("part.commit")
     async def _commit(doc, body):
         if not node.registers.learn_accepted(doc["part"], doc["stamp"], doc["ballot"]):
-            node.task_group.once("hear", node.peers.fetch_state, doc["addr"], doc["part"], "")
+            node.task_group.spawn("hear", node.peers.fetch_state, doc["addr"], doc["part"], "")
 
     @handlers.on("part.hear")
     async def _hear(doc, body):
@@ -86,7 +86,7 @@
         node.peers.merge_live_requests(doc["id"], doc["live"])
         word = {"id": node.id, "live": node.live.own(node.clock.now()), "spread": False}
         for card in list(node.cores.cards.values()):
-            node.task_group.once("live", node.call, card["addr"], "live", word)
+            node.task_group.spawn("live", node.call, card["addr"], "live", word)
 
     @handlers.on("news")
     async def _news(doc, body):
--- a/archhatch/control/node.py
+++ b/archhatch/control/node.py
@@ -59,7 +59,7 @@
         )
         self.id = ""
         self.incarnation = f"{random.getrandbits(48):012x}"
-        self.address = f"{settings.ip}:{settings.ports[0]}"
+        self.address = f"{settings.ip_address}:{settings.internal_ports[0]}"
         self.heartbeat_interval_s = settings.seconds("ContactMs", PING)
         self.quiet_s = settings.seconds("ContactMs", SILENT)
         self.started = self.clock.now()
@@ -94,22 +94,22 @@
             await self._found()
         self.registers.start()
         await self.desk.open(self.address)
-        await self.window.open(self.settings.listen["ControlPlane"])
+        await self.window.open(self.settings.bindings["ControlPlane"])
         self.peers.start()
-        self.task_group.keep("sweep", self._sweep_loop)
-        self.task_group.keep("tend", self._tend_loop)
-        self.task_group.keep("rewrite", self._rewrite_loop)
-        self.task_group.keep("regions", self.regions.run)
-        self.task_group.keep("evacuation", self.evacuations.run)
+        self.task_group.run_forever("sweep", self._sweep_loop)
+        self.task_group.run_forever("tend", self._tend_loop)
+        self.task_group.run_forever("rewrite", self._rewrite_loop)
+        self.task_group.run_forever("regions", self.regions.run)
+        self.task_group.run_forever("evacuation", self.evacuations.run)
         founder = bool(self.registers.founders)
         self.log.info("control node {} is up; founder={} records={}", self.id, founder, self.wal.size)
 
     async def _found(self) -> None:
         """A first start on an empty disk: the seeds found the group, others get an id by chance and join."""
-        ips = [s.rsplit(":", 1)[0] for s in self.settings.seeds]
-        if self.settings.first and self.settings.ip in ips:
-            self.id = f"f-{self.settings.ip}"
-            self.registers.founders = {f"f-{ip}": f"{ip}:{self.settings.ports[0]}" for ip in ips}
+        ips = [s.rsplit(":", 1)[0] for s in self.settings.seed_peers]
+        if self.settings.is_bootstrap and self.settings.ip_address in ips:
+            self.id = f"f-{self.settings.ip_address}"
+            self.registers.founders = {f"f-{ip}": f"{ip}:{self.settings.internal_ports[0]}" for ip in ips}
         else:
             self.id = f"n-{random.getrandbits(64):016x}"
         await self.wal.append(self.registers.identity())
@@ -117,7 +117,7 @@
     async def leave(self) -> None:
         """End in order: another takes this node's work and, where one stands by, its place in the groups."""
         self.leaving = True
-        self.state_board.touch("news")  # who waits for news is sent on to another node
+        self.state_board.notify("news")  # who waits for news is sent on to another node
         self.peers.announce()
         end = self.clock.now() + self.settings.seconds("GraceS", LEAVE)
         await asyncio.sleep(self.heartbeat_interval_s)
@@ -125,11 +125,11 @@
             await asyncio.sleep(self.heartbeat_interval_s)
         self.window.leaving = True
         await self.window.close(self.settings.seconds("GraceS", LEAVE))
-        await self.task_group.end()
+        await self.task_group.cancel_all()
         await self.desk.close()
         self.connections.end()
         await self.wal.close()
-        self.log.info("counters {}", self.counters.line())
+        self.log.info("counters {}", self.counters.summary())
 
     # -- what is seen
 
@@ -142,10 +142,10 @@
         """What others keep of this node."""
         return {
             "id": self.id,
-            "ip": self.settings.ip,
+            "ip": self.settings.ip_address,
             "addr": self.address,
             "zone": self.settings.zone,
-            "name": self.settings.node,
+            "name": self.settings.node_name,
         }
 
     def alive(self, node_id: str) -> bool:
@@ -232,7 +232,7 @@
         while True:
             await asyncio.sleep(self.heartbeat_interval_s * SWEEP_PINGS)
             if self.registry.sweep(self.clock.now(), self.settings.heartbeat_interval_ms / 1000 * SILENT_BEATS):
-                self.state_board.touch("news")
+                self.state_board.notify("news")
 
     async def _rewrite_loop(self) -> None:
         while True:
--- a/archhatch/control/peers.py
+++ b/archhatch/control/peers.py
@@ -35,20 +35,20 @@
         self.reports: dict[str, PeerReport] = {}  # address -> what the node there has surely taken up
         self.leaving: set = set()  # nodes that said that they are about to end
         self._disk_fails_since: dict[str, float] = {}
-        seeds = {f"{seed.rsplit(':', 1)[0]}:{node.settings.ports[0]}" for seed in node.settings.seeds}
+        seeds = {f"{seed.rsplit(':', 1)[0]}:{node.settings.internal_ports[0]}" for seed in node.settings.seed_peers}
         self._seeds = seeds - {node.address}
         self._watched = {node.address} | seeds
 
     def start(self) -> None:
         """Ping the seeds; others are found through them."""
         for address in sorted(self._seeds):
-            self.node.task_group.keep("ping", self.ping_loop, address)
+            self.node.task_group.run_forever("ping", self.ping_loop, address)
 
     def watch(self, address: str) -> None:
         """Ping an address from now on."""
         if address not in self._watched:
             self._watched.add(address)
-            self.node.task_group.keep("ping", self.ping_loop, address)
+            self.node.task_group.run_forever("ping", self.ping_loop, address)
 
     # -- what is told
 
@@ -62,7 +62,7 @@
             "accepted": node.registers.accepted(),
             "leaving": node.leaving,
             "takes": node.disk_takes(),
-            "wall": node.clock.wall(),
+            "wall": node.clock.wall_time(),
         }
         if address is None:
             return {**doc, "others": self._others()}
@@ -88,13 +88,13 @@
     def announce(self) -> None:
         """Ping all at once: this node has something to say that cannot wait, as that it will end."""
         for card in list(self.node.cores.cards.values()):
-            self.node.task_group.once("announce", self._ping, card["addr"])
+            self.node.task_group.spawn("announce", self._ping, card["addr"])
 
     def spread_commit(self, shard: str, version: int, proposal_number) -> None:
         """Tell all that a state was chosen. Who has accepted it needs no copy of it, others fetch it."""
         doc = {"part": shard, "stamp": version, "ballot": list(proposal_number or ()), "addr": self.node.address}
         for card in list(self.node.cores.cards.values()):
-            self.node.task_group.once("commit", self.node.call, card["addr"], "part.commit", doc, None, card["id"])
+            self.node.task_group.spawn("commit", self.node.call, card["addr"], "part.commit", doc, None, card["id"])
 
     # -- what is heard
 
@@ -115,7 +115,7 @@
             self.merge_live_totals(doc["card"]["id"], doc["live"])
         node.regions.heed(doc.get("served", ()))
         for shard in node.registers.told_chosen(doc["stamps"]):
-            node.task_group.once("hear", self.fetch_state, doc["card"]["addr"], shard, doc["card"]["id"])
+            node.task_group.spawn("hear", self.fetch_state, doc["card"]["addr"], shard, doc["card"]["id"])
         return lack
 
     def _heed_card(self, card: dict, now: float) -> None:
@@ -129,12 +129,12 @@
         node.cores.hear(card, now)
         if fresh:
             node.log.info("control node {} at {} is known", card["id"], card["addr"])
-            node.state_board.touch("news")
+            node.state_board.notify("news")
 
     def _heed_leaving(self, node_id: str, leaving: bool) -> None:
         if leaving and node_id not in self.leaving:
             self.leaving.add(node_id)
-            self.node.state_board.touch("tend")  # its place in the groups is to be taken before it ends
+            self.node.state_board.notify("tend")  # its place in the groups is to be taken before it ends
         elif not leaving:
             self.leaving.discard(node_id)
 
@@ -166,7 +166,7 @@
         before = set(node.live.busy(now))
         put(teller, live, now)
         if set(node.live.busy(now)) != before:
-            node.state_board.touch("news")
+            node.state_board.notify("news")
 
     def _take_stores(self, sightings: list, now: float) -> bool:
         """Fold when others heard of stores; True if one is named by its id alone and not known here."""
@@ -192,7 +192,7 @@
             entry.pop("silent", None)
             node.registry.beat(entry, now - age)
         if node.registry.turn != turn:
-            node.state_board.touch("news")
+            node.state_board.notify("news")
         return lack
 
     async def fetch_state(self, address: str, shard: str, node_id: str) -> None:
@@ -218,7 +218,7 @@
     def _note_time(self, out: dict, sent_at: float) -> None:
         """Fold the time of day that an answer shows: of the middle between its question and its arrival."""
         now = self.node.clock.now()
-        self.node.agreed_time.note(self.node.id, self.node.clock.wall(), now)
+        self.node.agreed_time.note(self.node.id, self.node.clock.wall_time(), now)
         if "wall" in out:
             self.node.agreed_time.note(out["card"]["id"], out["wall"], (sent_at + now) / 2)
 
--- a/archhatch/data_plane/edge.py
+++ b/archhatch/data_plane/edge.py
@@ -46,13 +46,19 @@
         self.connections = ConnectionPool(self.counters)
         self.plan: RoutingTable | None = None
         self.limits: dict = {}
-        card = {"id": settings.node, "klass": "edge", "name": settings.node, "ip": settings.ip, "zone": settings.zone}
+        card = {
+            "id": settings.node_name,
+            "klass": "edge",
+            "name": settings.node_name,
+            "ip": settings.ip_address,
+            "zone": settings.zone,
+        }
         self.config_watcher = ConfigWatcher(
             settings, card, self.connections, self.state_board, self.clock, self.counters
         )
         self.live = self.config_watcher.live = Live(self.state_board, self.clock, settings.seconds("ContactMs", 1 / 3))
         self.load_balancer = LoadBalancer(
-            settings.zone, settings.node, rest_s=settings.seconds("ContactMs", 0.3), widen=0.5
+            settings.zone, settings.node_name, rest_s=settings.seconds("ContactMs", 0.3), widen=0.5
         )
         self.placement, self.config_watcher.proved = self.load_balancer.placement, self.load_balancer.proved
         self.admission = Admission(
@@ -73,7 +79,7 @@
     async def start(self) -> None:
         self.upstream_client = UpstreamClient(counters=self.counters)
         self.load_balancer.idle = self.upstream_client.idle
-        store_port, rest_s = self.settings.ports[0] + 1, self.settings.seconds("ContactMs", 0.3)
+        store_port, rest_s = self.settings.internal_ports[0] + 1, self.settings.seconds("ContactMs", 0.3)
         proxies = StoreProxies(
             self.config_watcher, self.connections, store_port, self.settings.zone, rest_s, self.counters
         )
@@ -82,14 +88,14 @@
         )
         self.relay = Relay(self.upstream_client, self.load_balancer, self.clock, self.counters, self.live, self.usage)
         self.batch_jobs = JobHandlers(self.settings, self.config_watcher, self.connections, self.counters, self.clock)
-        await self.door.open(self.settings.listen["Readiness"])
-        await self.window.open(self.settings.listen["FrontHttp"], self.sock)
-        self.task_group.keep("news", self.config_watcher.run)
-        self.task_group.keep("parts", self._parts_loop)
-        self.task_group.keep("live", self._live_loop)
+        await self.door.open(self.settings.bindings["Readiness"])
+        await self.window.open(self.settings.bindings["FrontHttp"], self.sock)
+        self.task_group.run_forever("news", self.config_watcher.run)
+        self.task_group.run_forever("parts", self._parts_loop)
+        self.task_group.run_forever("live", self._live_loop)
         if self.usage is not None:
-            self.task_group.keep("usage", self.usage.run)
-        self.task_group.keep("roll", self._roll_loop)
+            self.task_group.run_forever("usage", self.usage.run)
+        self.task_group.run_forever("roll", self._roll_loop)
 
     async def leave(self) -> None:
         """Off the list at once; what comes meanwhile is served; then the end, before GraceS."""
@@ -102,10 +108,10 @@
         await self.door.close(0.0)
         if self.usage is not None:
             await self.usage.tell()
-        await self.task_group.end()
+        await self.task_group.cancel_all()
         await self.upstream_client.close()
         self.connections.end()
-        self.log.info("counters {}", self.counters.line())
+        self.log.info("counters {}", self.counters.summary())
 
     async def _parts_loop(self) -> None:
         turn = 0
@@ -130,7 +136,7 @@
                 continue  # all know already
             for address in self.config_watcher.candidates()[:2]:
                 try:
-                    await self.config_watcher.call(address, "live", {"id": self.settings.node, "live": busy}, 0.3)
+                    await self.config_watcher.call(address, "live", {"id": self.settings.node_name, "live": busy}, 0.3)
                     break
                 except CallError:
                     self.counters.add("live.untold")
@@ -149,7 +155,7 @@
     async def _front(self, request, body):
         if self.plan is None:  # just started: the configuration is a moment away
             await self.state_board.wait_for_change(
-                "parts", self.state_board.turn("parts"), self.settings.seconds("ContactMs", 0.1)
+                "parts", self.state_board.version("parts"), self.settings.seconds("ContactMs", 0.1)
             )
             await asyncio.sleep(0)
         plan = self.plan
--- a/archhatch/data_plane/job_handlers.py
+++ b/archhatch/data_plane/job_handlers.py
@@ -31,7 +31,7 @@
             counters,
             clock,
         )
-        self.port = settings.ports[0] + 1
+        self.port = settings.internal_ports[0] + 1
         self.run_of: dict[str, str] = {}
         self.unclear: dict[str, None] = {}  # lots that were sent to a store without a clear answer, oldest first
         self.quorum = Quorum.of(settings)
--- a/archhatch/data_plane/live_requests.py
+++ b/archhatch/data_plane/live_requests.py
@@ -28,7 +28,7 @@
 
     def enter(self, service: str) -> None:
         if self.clock.now() - self.last.get(service, float("-inf")) > self.quiet_s and not self.now.get(service):
-            self.state_board.touch("live")  # the first after a lull: say so at once
+            self.state_board.notify("live")  # the first after a lull: say so at once
         self._move(service, 1)
 
     def leave(self, service: str) -> None:
--- a/archhatch/diagnostics/doctor.py
+++ b/archhatch/diagnostics/doctor.py
@@ -70,18 +70,24 @@
     @check
     async def _settings(self) -> list:
         settings, out = self.settings, []
-        for name, address in settings.listen.items():
-            if address.rsplit(":", 1)[0] not in (settings.ip, "0.0.0.0"):
-                out.append(Finding(6002, f"Bindings.{name}", f"{address} is not on this machine ({settings.ip})"))
-            if settings.ports[0] <= int(address.rsplit(":", 1)[1]) <= settings.ports[1]:
+        for name, address in settings.bindings.items():
+            if address.rsplit(":", 1)[0] not in (settings.ip_address, "0.0.0.0"):
+                out.append(
+                    Finding(6002, f"Bindings.{name}", f"{address} is not on this machine ({settings.ip_address})")
+                )
+            if settings.internal_ports[0] <= int(address.rsplit(":", 1)[1]) <= settings.internal_ports[1]:
                 out.append(Finding(6002, f"Bindings.{name}", f"{address} lies within InternalPorts"))
-        if not settings.seeds:
+        if not settings.seed_peers:
             out.append(Finding(6003, "SeedPeers", "is empty: this node finds nobody"))
-        if len(set(settings.seeds)) < len(settings.seeds):
+        if len(set(settings.seed_peers)) < len(settings.seed_peers):
             out.append(Finding(6003, "SeedPeers", "names one address twice"))
-        if settings.klass in ("core", "storage") and not settings.data_dir:
+        if settings.machine_class in ("core", "storage") and not settings.data_dir:
             out.append(
-                Finding(6008, "DataDir", f"is missing on a {settings.klass} machine: nothing would outlive a restart")
+                Finding(
+                    6008,
+                    "DataDir",
+                    f"is missing on a {settings.machine_class} machine: nothing would outlive a restart",
+                )
             )
         if settings.seconds("ConvergeMs") < settings.seconds("ContactMs", 1 / 3):
             out.append(Finding(6002, "Bounds.ConvergeMs", "is under a third of ContactMs: news may come too late"))
@@ -132,8 +138,8 @@
     @check
     async def _seeds(self) -> list:
         out, lines = [], ConnectionPool(Counters())
-        for seed in self.settings.seeds:
-            address = f"{seed.rsplit(':', 1)[0]}:{self.settings.ports[0]}"
+        for seed in self.settings.seed_peers:
+            address = f"{seed.rsplit(':', 1)[0]}:{self.settings.internal_ports[0]}"
             try:
                 code, doc, _ = await lines.to(address).call("fitness", {}, timeout_s=self.seconds)
                 if code != 1000:
--- a/archhatch/evacuation/controller.py
+++ b/archhatch/evacuation/controller.py
@@ -25,7 +25,7 @@
 class EvacuationController:
     """run() drives records while there are any that are not over; without one it sleeps until the register changes.
 
-    >>> # duty = EvacuationController(node, "plan"); task_group.keep("evacuation", duty.run)
+    >>> # duty = EvacuationController(node, "plan"); task_group.run_forever("evacuation", duty.run)
     """
 
     def __init__(self, node, shard: str):
@@ -73,7 +73,7 @@
         """Look at all records again and again while this node owns the register."""
         node = self.node
         while True:
-            turn = node.state_board.turn("plan")
+            turn = node.state_board.version("plan")
             if not self._open():
                 self._since.clear()
                 await node.state_board.wait_for_change("plan", turn)
@@ -247,9 +247,9 @@
         key = (name, kind)
         task = self._sending.get(key)
         if task is None or task.done():
-            self._sending[key] = self.node.task_group.once("notice", self._send, name, plan, kind)
+            self._sending[key] = self.node.task_group.spawn("notice", self._send, name, plan, kind)
         if plan["NoticeWait"] == "term" and here_s >= plan["NoticeTermS"]:
-            self.node.task_group.once("notice", self._note, name, kind, TERM_OVER)
+            self.node.task_group.spawn("notice", self._note, name, kind, TERM_OVER)
         return False
 
     async def _send(self, name: str, plan: dict, kind: str) -> None:
--- a/archhatch/jobs/quorum.py
+++ b/archhatch/jobs/quorum.py
@@ -31,10 +31,10 @@
     def of(cls, settings) -> Quorum:
         """As the settings have it.
 
-        >>> # Quorum.of(settings).machines == settings.tolerate
+        >>> # Quorum.of(settings).machines == settings.tolerated_machines
         """
-        regions = settings.zones if settings.tolerate_regions else {}
-        return cls(settings.tolerate, settings.tolerate_zones, settings.tolerate_regions, regions)
+        regions = settings.zones if settings.tolerated_regions else {}
+        return cls(settings.tolerated_machines, settings.tolerated_zones, settings.tolerated_regions, regions)
 
     @classmethod
     def read(cls, doc: dict | None) -> Quorum:
--- a/archhatch/jobs/replicator.py
+++ b/archhatch/jobs/replicator.py
@@ -149,7 +149,7 @@
         fut = asyncio.get_running_loop().create_future()
         if sid not in self._inboxes:
             self._inboxes[sid], self._wakes[sid] = [], asyncio.Event()
-            self.task_group.keep("copy", self._work, sid)
+            self.task_group.run_forever("copy", self._work, sid)
         self._inboxes[sid].append((run, term, records, fut))
         self._wakes[sid].set()
         return fut
--- a/archhatch/membership/config_watcher.py
+++ b/archhatch/membership/config_watcher.py
@@ -24,8 +24,8 @@
     def __init__(self, settings, card, lines, state_board, clock, counters):
         self.settings, self.card, self.connections = settings, card, lines
         self.state_board, self.clock, self.counters = state_board, clock, counters
-        self.port = settings.ports[0]
-        self.addrs = [f"{s.rsplit(':', 1)[0]}:{self.port}" for s in settings.seeds]
+        self.port = settings.internal_ports[0]
+        self.addrs = [f"{s.rsplit(':', 1)[0]}:{self.port}" for s in settings.seed_peers]
         random.shuffle(self.addrs)
         self.stamps: dict[str, int] = {}
         self.shards: dict[str, dict] = {}
@@ -142,7 +142,7 @@
             changed = self._fold_part(shard, got) or changed
         if doc["busy"] != self.busy:
             self.busy = doc["busy"]
-            self.state_board.touch("work")
+            self.state_board.notify("work")
         fresh = []
         for entry in doc["roll"]:
             old = self.registry.get(entry["id"])
@@ -157,9 +157,9 @@
             fresh.append(entry)
         if fresh:
             self.mine.extend(fresh)
-            self.state_board.touch("roll")
+            self.state_board.notify("roll")
         if changed:
-            self.state_board.touch("parts")
+            self.state_board.notify("parts")
 
     def _fold_part(self, shard: str, got: dict) -> bool:
         """Take up a register, whole or as the changes since the version that this node has; whether it is newer."""
--- a/archhatch/region_policy/client.py
+++ b/archhatch/region_policy/client.py
@@ -54,7 +54,7 @@
     async def call(self, method: str, path: str, body: bytes | None = None, heads: dict | None = None) -> tuple:
         why = "SeedPeers is empty"
         for _ in range(self.ROUNDS):
-            for seed in self.settings.seeds:
+            for seed in self.settings.seed_peers:
                 try:
                     async with self.http.request(method, f"http://{seed}{path}", data=body, headers=heads) as response:
                         data = await response.read()
--- a/archhatch/region_policy/region_monitor.py
+++ b/archhatch/region_policy/region_monitor.py
@@ -13,7 +13,7 @@
 class RegionMonitor:
     """run() watches while a policy is set; without one it sleeps until the plan part changes.
 
-    >>> # duty = RegionMonitor(core, "plan"); task_group.keep("regions", duty.run)
+    >>> # duty = RegionMonitor(core, "plan"); task_group.run_forever("regions", duty.run)
     """
 
     def __init__(self, core, shard: str):
@@ -44,7 +44,7 @@
     async def run(self) -> None:
         core = self.core
         while True:
-            turn = core.state_board.turn("plan")
+            turn = core.state_board.version("plan")
             value = (core.known.get(self.shard) or {"val": {}})["val"]
             if "policy" not in value or "plan" not in value:
                 self.last = None
--- a/archhatch/rollout_controller/leadership_term.py
+++ b/archhatch/rollout_controller/leadership_term.py
@@ -70,9 +70,9 @@
         store.log.info("run {}: held under term {} with {} lots", self.run, self.term, len(self.batch_jobs))
         store.counters.add("reign.begun")
         for batch_job in list(self.batch_jobs.values()):
-            store.state_board.touch(("lot", batch_job.job_id))
-        store.state_board.touch("work")
-        store.state_board.touch("members")  # what lacks copies is repaired at once
+            store.state_board.notify(("lot", batch_job.job_id))
+        store.state_board.notify("work")
+        store.state_board.notify("members")  # what lacks copies is repaired at once
         await self.takeover.take_up_ended()
 
     def over(self) -> None:
@@ -84,8 +84,8 @@
             for task in self._copying.values():
                 task.cancel()  # nothing of this term is answered any more; its waiters are told DeposedError
             for job_id in self.batch_jobs:
-                self.store.state_board.touch(("lot", job_id))
-            self.store.state_board.touch("work")
+                self.store.state_board.notify(("lot", job_id))
+            self.store.state_board.notify("work")
 
     # -- what others are told
 
@@ -125,7 +125,7 @@
         key = place(records[0])
         task = self._copying.get(key)
         if task is None:
-            task = self._copying[key] = self.store.task_group.once("records", self._copy_on, key, records, batch_job)
+            task = self._copying[key] = self.store.task_group.spawn("records", self._copy_on, key, records, batch_job)
         await asyncio.wait({task})  # unlike an await of the task, this leaves it running if the waiter is cancelled
         if task.cancelled() or task.result() is not True:
             raise DeposedError(self.run)
@@ -144,10 +144,10 @@
         if key[0] == "L":
             self.batch_jobs.setdefault(batch_job.job_id, batch_job)
             self.store.counters.add("lot.taken")
-            self.store.state_board.touch("work")
+            self.store.state_board.notify("work")
         else:
             self.advance(batch_job)
-            self.store.state_board.touch(("lot", batch_job.job_id))
+            self.store.state_board.notify(("lot", batch_job.job_id))
         self.mending.copied(batch_job, records)
         return True
 
@@ -215,7 +215,7 @@
         batch_job = self.batch_jobs[job_id]
         batch_job.ended, batch_job.ended_at = True, batch_job.ended_at or self.store.clock.now()
         batch_job.let_items_go()
-        self.store.state_board.touch("work")
+        self.store.state_board.notify("work")
         record = next((r for r in batch_job.records if r.head["k"] == "E"), None)
         if record is None:
             record = Record({"k": "E", "lot": job_id, "run": self.run})
@@ -252,7 +252,7 @@
             if not self.fresh():
                 return None
             batch_job = self.batch_jobs[job_id]
-            turn = store.state_board.turn(("lot", job_id))
+            turn = store.state_board.version(("lot", job_id))
             left = end - store.clock.now()
             if batch_job.listed > after or left <= 0 or batch_job.listed == batch_job.total:
                 rows, nxt = batch_job.page(after)
--- a/archhatch/rollout_controller/repair.py
+++ b/archhatch/rollout_controller/repair.py
@@ -44,7 +44,7 @@
         await self._thicken(thin, up)
         for batch_job in {id(batch_job): batch_job for batch_job, _ in thin}.values():
             if self.leadership.advance(batch_job):
-                store.state_board.touch(("lot", batch_job.job_id))
+                store.state_board.notify(("lot", batch_job.job_id))
         # what ended its copying meanwhile, without enough stores in touch, was put into the new list
         left = {id(r): (batch_job, r) for batch_job, r in thin + self.thin if not store.quorum.enough(r.held, up)}
         self.thin = list(left.values())
--- a/archhatch/rollout_controller/scoring.py
+++ b/archhatch/rollout_controller/scoring.py
@@ -17,7 +17,8 @@
 class Scoring:
     """score() gives the seal of a reward call's 2xx, or None once the call failed for good.
 
-    >>> # scoring = Scoring(store, lull); task_group.keep("scoring", scoring.run); seal = await scoring.score(work, key)
+    >>> # scoring = Scoring(store, lull); task_group.run_forever("scoring", scoring.run);
+    >>> # seal = await scoring.score(work, key)
     """
 
     def __init__(self, store, lull: LoadLimit):
@@ -30,13 +31,13 @@
         while True:
             fut = asyncio.get_running_loop().create_future()
             heapq.heappush(self.inbox, (key, next(self.count), work, fut))
-            self.store.state_board.touch("score")
+            self.store.state_board.notify("score")
             try:
                 line, route = await fut
             except asyncio.CancelledError:
                 if fut.done() and not fut.cancelled():
                     fut.result()[0].under_way -= 1  # the place came just as the lot ended
-                    self.store.state_board.touch("score")
+                    self.store.state_board.notify("score")
                 raise
             answer = await self._call(work, line, route)
             if answer.good:
@@ -111,7 +112,7 @@
             )
         finally:
             line.under_way -= 1
-            store.state_board.touch("score")
+            store.state_board.notify("score")
         now = store.clock.now()
         store.load_balancer.judge(line, answer, now, now - began, route.aim_s * 0.3)
         return answer
--- a/archhatch/rollout_controller/weight_orders.py
+++ b/archhatch/rollout_controller/weight_orders.py
@@ -48,7 +48,7 @@
 class WeightOrders:
     """Brings every engine to the newest named version, a few at a time.
 
-    >>> # orders = WeightOrders(store); task_group.keep("orders", orders.run)
+    >>> # orders = WeightOrders(store); task_group.run_forever("orders", orders.run)
     """
 
     def __init__(self, store):
@@ -60,7 +60,7 @@
     def doubt(self, e) -> None:
         """An engine turned a version away that it should have."""
         self.doubts.add(e.iid)
-        self.store.state_board.touch("orders")
+        self.store.state_board.notify("orders")
 
     async def run(self) -> None:
         store, turn = self.store, 0
@@ -69,7 +69,7 @@
                 self.doubts.discard(iid)
                 e = store.engines.all.get(iid)
                 if e is not None and not e.ordering:
-                    store.task_group.once("doubt", self._clear_up, e)
+                    store.task_group.spawn("doubt", self._clear_up, e)
             while self._start_one():
                 pass
             turn = await store.state_board.wait_for_change("orders", turn, store.heartbeat_interval_s)
@@ -102,7 +102,7 @@
         _, leadership, run, e, target = best
         e.ordering = True
         self.out += 1
-        store.task_group.once("order", self._order, leadership, run, e, target)
+        store.task_group.spawn("order", self._order, leadership, run, e, target)
         return True
 
     def _wanted(self, leadership, model: str, engines: list, target: int) -> bool:
@@ -157,15 +157,17 @@
             e.ordering = False
             e.held.discard(run)
             self.out -= 1
-            store.state_board.touch("orders")
-            store.state_board.touch("work")
+            store.state_board.notify("orders")
+            store.state_board.notify("work")
 
     async def _until_idle(self, leadership, run: str, e) -> None:
         """Wait for the items of a model that an engine runs, not longer than a lease."""
         store = self.store
         end = store.clock.now() + store.settings.seconds("LeaseMs")
         while e.running.get(run, 0) and store.clock.now() < end and leadership.may_order():
-            await store.state_board.wait_for_change("work", store.state_board.turn("work"), store.heartbeat_interval_s)
+            await store.state_board.wait_for_change(
+                "work", store.state_board.version("work"), store.heartbeat_interval_s
+            )
 
     async def _cleared(self, e) -> bool:
         """Whether nothing is unclear of earlier orders: what got no answer may have been taken, and a report tells."""
@@ -194,7 +196,7 @@
             "Model": run,
             "Revision": target,
             "Mode": mode,
-            "Owner": store.settings.node,
+            "Owner": store.settings.node_name,
             "FenceToken": leadership.term,
         }
         if e.count is not None:
@@ -313,4 +315,4 @@
         rep = await self._report(e)
         if rep is not None and not rep.get("Utilization"):
             e.revs = {m["Name"]: int(m["Revision"]) for m in rep.get("ModelList") or []}
-        self.store.state_board.touch("work")
+        self.store.state_board.notify("work")
--- a/archhatch/runtime/clock.py
+++ b/archhatch/runtime/clock.py
@@ -14,10 +14,10 @@
         """
         return time.monotonic()
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """Seconds since the start of 1970, as this machine has it; may jump at any moment.
 
-        >>> Clock().wall() > 1.7e9
+        >>> Clock().wall_time() > 1.7e9
         True
         """
         return time.time()
--- a/archhatch/runtime/settings.py
+++ b/archhatch/runtime/settings.py
@@ -66,24 +66,24 @@
 
 @dataclass(frozen=True)
 class Settings:
-    node: str
+    node_name: str
     role: str
-    klass: str
-    ip: str
+    machine_class: str
+    ip_address: str
     zone: str
     zones: dict
-    listen: dict
-    ports: tuple
-    seeds: tuple
-    first: bool
+    bindings: dict
+    internal_ports: tuple
+    seed_peers: tuple
+    is_bootstrap: bool
     data_dir: str | None
     heartbeat_interval_ms: float
     memory_mb: int
-    fds: int
+    max_fds: int
     disk_mb: int
-    tolerate: int
-    tolerate_zones: int
-    tolerate_regions: int
+    tolerated_machines: int
+    tolerated_zones: int
+    tolerated_regions: int
     bounds: dict = field(default_factory=dict)
     share_lock_s: float = 30.0
     share_locks: int = 200
@@ -185,7 +185,7 @@
     if len(ports) != 2 or not all(isinstance(p, int) and 0 < p < 65536 for p in ports) or ports[1] < ports[0] + 1:
         raise SettingsError("InternalPorts", "must be two rising port numbers")
     seeds = tuple(_addr("SeedPeers", s) for s in _want(doc, "SeedPeers", list, [], must=False))
-    listen = {k: _addr(f"Bindings.{k}", v) for k, v in _want(doc, "Bindings", dict, {}, must=False).items()}
+    bindings = {k: _addr(f"Bindings.{k}", v) for k, v in _want(doc, "Bindings", dict, {}, must=False).items()}
     tol = _want(doc, "FaultTolerance", dict, {}, must=False)
     tolerate = {}
     for name, default in (("Machines", 1), ("Zones", 0), ("Regions", 0)):
@@ -196,24 +196,24 @@
     if beat <= 0:
         raise SettingsError("KeepaliveMs", "must be above 0")
     return Settings(
-        node=_want(doc, "NodeName", str),
+        node_name=_want(doc, "NodeName", str),
         role=_want(doc, "Role", str, "", must=False),
-        klass=_want(doc, "MachineClass", str, "", must=False),
-        ip=_want(doc, "IpAddress", str),
+        machine_class=_want(doc, "MachineClass", str, "", must=False),
+        ip_address=_want(doc, "IpAddress", str),
         zone=_want(doc, "Zone", str, "", must=False),
         zones=_want(doc, "Zones", dict, {}, must=False),
-        listen=listen,
-        ports=tuple(ports),
-        seeds=seeds,
-        first=_want(doc, "Bootstrap", bool, False, must=False),
+        bindings=bindings,
+        internal_ports=tuple(ports),
+        seed_peers=seeds,
+        is_bootstrap=_want(doc, "Bootstrap", bool, False, must=False),
         data_dir=_want(doc, "DataDir", str, None, must=False),
         heartbeat_interval_ms=beat,
         memory_mb=int(lim.get("MemoryMb", 256)),
-        fds=int(lim.get("MaxFds", 1024)),
+        max_fds=int(lim.get("MaxFds", 1024)),
         disk_mb=int(lim.get("DiskMb", 0)),
-        tolerate=tolerate["Machines"],
-        tolerate_zones=tolerate["Zones"],
-        tolerate_regions=tolerate["Regions"],
+        tolerated_machines=tolerate["Machines"],
+        tolerated_zones=tolerate["Zones"],
+        tolerated_regions=tolerate["Regions"],
         bounds=_bounds(doc),
         share_lock_s=_above(doc, "ShareLockS", float, 30.0),
         share_locks=_above(doc, "ShareLocks", int, 200),
--- a/archhatch/runtime/state_board.py
+++ b/archhatch/runtime/state_board.py
@@ -8,7 +8,7 @@
 class StateBoard:
     """Values by name, each with a count of its changes.
 
-    >>> b = StateBoard(); b.post("plan", 7); b.read("plan"), b.turn("plan")
+    >>> b = StateBoard(); b.publish("plan", 7); b.read("plan"), b.version("plan")
     (7, 1)
     """
 
@@ -17,11 +17,11 @@
         self._turns: dict = {}
         self._waits: dict = {}
 
-    def post(self, name: str, value) -> None:
+    def publish(self, name: str, value) -> None:
         self._vals[name] = value
-        self.touch(name)
+        self.notify(name)
 
-    def touch(self, name: str) -> None:
+    def notify(self, name: str) -> None:
         """Say that the value under name changed in place."""
         self._turns[name] = self._turns.get(name, 0) + 1
         for fut in self._waits.pop(name, ()):
@@ -31,13 +31,13 @@
     def read(self, name: str, default=None):
         return self._vals.get(name, default)
 
-    def turn(self, name: str) -> int:
+    def version(self, name: str) -> int:
         return self._turns.get(name, 0)
 
     async def wait_for_change(self, name: str, turn: int, timeout_s: float | None = None) -> int:
         """Wait until the value under name changed after turn, or secs have passed; the turn now."""
-        if self.turn(name) != turn:
-            return self.turn(name)
+        if self.version(name) != turn:
+            return self.version(name)
         fut = asyncio.get_running_loop().create_future()
         self._waits.setdefault(name, []).append(fut)
         try:
@@ -48,4 +48,4 @@
             waits = self._waits.get(name)
             if waits and fut in waits:
                 waits.remove(fut)
-        return self.turn(name)
+        return self.version(name)
--- a/archhatch/runtime/task_group.py
+++ b/archhatch/runtime/task_group.py
@@ -8,18 +8,18 @@
 class TaskGroup:
     """Holds tasks so that none is lost, and ends them together.
 
-    >>> # task_group = TaskGroup(log); task_group.keep("pings", self._ping_loop); await task_group.end()
+    >>> # task_group = TaskGroup(log); task_group.run_forever("pings", self._ping_loop); await task_group.cancel_all()
     """
 
     def __init__(self, log, counters):
         self.log, self.counters = log, counters
         self.tasks: set = set()
 
-    def keep(self, name: str, function, *args) -> asyncio.Task:
+    def run_forever(self, name: str, function, *args) -> asyncio.Task:
         """Run fn(*args) for good: after a fault it is run again, a little later."""
-        return self.once(name, self._again, name, function, args)
+        return self.spawn(name, self._again, name, function, args)
 
-    def once(self, name: str, function, *args) -> asyncio.Task:
+    def spawn(self, name: str, function, *args) -> asyncio.Task:
         """Run fn(*args) once; a fault is counted and logged."""
         task = asyncio.get_running_loop().create_task(self._guard(name, function, args))
         self.tasks.add(task)
@@ -49,7 +49,7 @@
             await asyncio.sleep(pause)
             pause = min(1.0, pause * 2)
 
-    async def end(self) -> None:
+    async def cancel_all(self) -> None:
         """Cancel all tasks and wait for them; one that missed its cancellation is told again."""
         left = {t for t in self.tasks if t is not asyncio.current_task()}
         while left:
--- a/archhatch/share_group/acknowledgements.py
+++ b/archhatch/share_group/acknowledgements.py
@@ -26,7 +26,7 @@
         run = self.leader.run_of(doc)
         rows = orjson.loads(body)
         outs = await asyncio.gather(*(self._settle(run, doc["worker"], row) for row in rows))
-        self.store.state_board.touch("work")
+        self.store.state_board.notify("work")
         return {"done": outs}
 
     async def _settle(self, run: LedPartitions, worker: str, row: dict) -> bool:
--- a/archhatch/share_group/leader.py
+++ b/archhatch/share_group/leader.py
@@ -21,7 +21,8 @@
 class PartitionLeader:
     """Fills the places of the engines with entries, the most urgent lots first, through the workers that ask.
 
-    >>> # leader = PartitionLeader(store); task_group.keep("leader", leader.run); doc, body = await leader.fetch(doc)
+    >>> # leader = PartitionLeader(store); task_group.run_forever("leader", leader.run);
+    >>> # doc, body = await leader.fetch(doc)
     """
 
     def __init__(self, store, lock_s: float = 30.0, max_locks: int = 200):
@@ -123,7 +124,7 @@
             for e in entries.values():
                 self.unplace(e)
         for seat in run.workers.values():
-            self.store.state_board.touch(("seat", name, seat.worker))
+            self.store.state_board.notify(("seat", name, seat.worker))
 
     def break_off(self, run: LedPartitions, e: ShareEntry, why: str) -> None:
         seat = run.workers.get(e.worker)
@@ -181,7 +182,7 @@
                     if self.slots.free_slots(e, now) > 0:
                         wake.add(self.slots.driver_of(run, e))
             for worker in wake:
-                self.store.state_board.touch(("seat", name, worker))
+                self.store.state_board.notify(("seat", name, worker))
 
     def lacks_replicas(self, leadership, model: str) -> bool:
         """Whether a model's items would want more replicas that hold a version which they allow."""
@@ -235,7 +236,7 @@
             return {"old": True}, b"[]"
         seat.poll, seat.heard, seat.lag = doc["poll"], now, doc["lag"]
         key = ("seat", doc["run"], seat.worker)
-        store.state_board.touch(key)
+        store.state_board.notify(key)
         for n in doc["got"]:
             seat.unconfirmed_batches.pop(n, None)
         for shard, offset, delivery in doc["off"]:
@@ -243,7 +244,7 @@
         kept = self._attach(run, seat, doc["holding"], now) if doc["holding"] is not None else None
         end, mine = now + doc["hold"], doc["poll"]
         while True:
-            turn = store.state_board.turn(key)
+            turn = store.state_board.version(key)
             if run.leadership.state != "holding" or self.runs.get(doc["run"]) is not run:
                 raise CallRefusedError(3005)
             now = store.clock.now()
--- a/archhatch/share_group/worker.py
+++ b/archhatch/share_group/worker.py
@@ -32,7 +32,7 @@
 class Worker:
     """Pulls from the leader of every run and runs what it gets.
 
-    >>> # worker = Worker(store); task_group.keep("worker", worker.run)
+    >>> # worker = Worker(store); task_group.run_forever("worker", worker.run)
     """
 
     def __init__(self, store):
@@ -51,8 +51,8 @@
             for run in store.tenures():
                 if run not in self.sessions:
                     self.sessions[run] = LeaderSession()
-                    store.task_group.keep("pull", self._pull, run)
-                    store.task_group.keep("commit", self._commit, run)
+                    store.task_group.run_forever("pull", self._pull, run)
+                    store.task_group.run_forever("commit", self._commit, run)
                 desk, lead = self.sessions[run], self._leader(run)
                 if lead is not None and lead[0] != desk.epoch:
                     desk.poke.set()  # another leads now: don't wait for the old one's answer
@@ -100,7 +100,7 @@
             if lead[0] != desk.epoch:
                 desk.epoch, desk.attach = lead[0], True
             desk.poke.clear()
-            poll = store.task_group.once("poll", self._poll, run, desk, lead)
+            poll = store.task_group.spawn("poll", self._poll, run, desk, lead)
             poke = asyncio.ensure_future(desk.poke.wait())
             try:
                 await asyncio.wait([poll, poke], return_when=asyncio.FIRST_COMPLETED)
@@ -169,7 +169,7 @@
             desk.got.append(out["batch"])
             for card in orjson.loads(raw):
                 self._take(run, desk, card, sent)
-        store.state_board.touch("score")
+        store.state_board.notify("score")
         return True
 
     def _keep(self, desk: LeaderSession, held: list, kept: list) -> None:
@@ -209,7 +209,7 @@
         job.item = SimpleNamespace(iid=card["iid"], scorer=card["scorer"])
         job.may_send = lambda: self._may_send(job)
         desk.entries[key] = job
-        job.task = self.store.task_group.once("item", self._run, desk, job)
+        job.task = self.store.task_group.spawn("item", self._run, desk, job)
 
     def _may_send(self, job: AcquiredEntry) -> bool:
         """Whether a new request of this entry may reach a replica: the lock stands and the leader was heard lately, so
--- a/archhatch/simulation/control_node.py
+++ b/archhatch/simulation/control_node.py
@@ -136,7 +136,7 @@
         while not task.done():
             plan = reader.shards.get(PLAN, {}).get("plan") or {"Revision": 0}
             deployment.history.seen.append(Seen(self.name, number, deployment.loop.time(), plan["Revision"]))
-            await state_board.wait_for_change("parts", state_board.turn("parts"), SAMPLE_S)
+            await state_board.wait_for_change("parts", state_board.version("parts"), SAMPLE_S)
 
     async def run(self, end: float) -> None:
         """Live until a moment, at times anew."""
--- a/archhatch/simulation/loop.py
+++ b/archhatch/simulation/loop.py
@@ -239,6 +239,6 @@
         """Seconds of virtual time."""
         return self._loop.time()
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """Seconds since the start of 1970, the same for all nodes."""
         return WALL_AT_START + self._loop.time()
--- a/archhatch/singleton_roles/admin.py
+++ b/archhatch/singleton_roles/admin.py
@@ -24,7 +24,7 @@
     async def answer(self, name: str, key: str):
         """Run one call: `duty.list` (all duties, or the one of a key) or `duty.reset`."""
         if name == "duty.reset":
-            code, doc = await self._run(name, key, {"key": key, "node": self.node.settings.node})
+            code, doc = await self._run(name, key, {"key": key, "node": self.node.settings.node_name})
             return json_result(DONE, {"OperState": "IDLE"}) if code == DONE else error_result(code, str(doc))
         duties: dict = {}
         for namespace in [split_key(key)[0]] if key else sorted(self._groups()):
--- a/archhatch/singleton_roles/group.py
+++ b/archhatch/singleton_roles/group.py
@@ -19,7 +19,7 @@
     def __init__(self, store):
         self.store = store
         settings = store.settings
-        size = GroupSize.for_losses(settings.tolerate)
+        size = GroupSize.for_losses(settings.tolerated_machines)
         self.size = GroupSize(size.minimum, size.minimum)
         self.patience = UnreachableTimeouts(
             settings.seconds("ContactMs", REPLACE), settings.seconds("ContactMs", SHRINK)
@@ -61,7 +61,7 @@
     def _place(self, member: dict) -> str:
         """What fails together: a region where the loss of regions is borne, else a zone."""
         zone = member["zone"]
-        return self.store.settings.zones.get(zone, zone) if self.store.settings.tolerate_regions else zone
+        return self.store.settings.zones.get(zone, zone) if self.store.settings.tolerated_regions else zone
 
     def _leaves(self, sid: str, members: dict) -> bool:
         return sid in members and (members[sid]["state"] != "active" or self.store.membership.departing(sid))
--- a/archhatch/singleton_roles/lease.py
+++ b/archhatch/singleton_roles/lease.py
@@ -37,7 +37,7 @@
 
     Only the owner asks for it: it sees by itself when the lease has lapsed, so that nobody has to ask in vain.
 
-    >>> # lease = StandingLease(store, "accounting"); task_group.keep("lease", lease.run); lease.may_act()
+    >>> # lease = StandingLease(store, "accounting"); task_group.run_forever("lease", lease.run); lease.may_act()
     """
 
     def __init__(self, store, namespace: str):
@@ -93,7 +93,7 @@
         if ledger.owner(self.namespace) != self.store.id or self.namespace not in ledger.known:
             return False
         duty = ledger.duties(self.namespace).get(self.namespace)
-        if duty is None or duty["holder"] is None or duty["holder"][0] == self.store.settings.node:
+        if duty is None or duty["holder"] is None or duty["holder"][0] == self.store.settings.node_name:
             return True
         return ledger.watch.seen_s(self.namespace, self.store.clock.now()) >= duty["lease_s"]
 
@@ -106,7 +106,7 @@
         self.tenancy = Tenancy(doc["fence"], PriorState(doc["prior"]))
         self._until = asked + self.lease_s
         self.store.log.info("duty {}: held under fence {}", self.namespace, doc["fence"])
-        self.store.state_board.touch("duty")
+        self.store.state_board.notify("duty")
 
     async def _renew(self) -> None:
         asked = self.store.clock.now()
@@ -131,7 +131,7 @@
         self.tenancy = None
 
     async def _run(self, name: str, args: dict) -> tuple[int, object]:
-        identity = {"node": self.store.settings.node, "life": self.store.incarnation}
+        identity = {"node": self.store.settings.node_name, "life": self.store.incarnation}
         try:
             return await self.store.ledger.run(name, {**args, **identity})
         except CallError:
--- a/archhatch/singleton_roles/register_host.py
+++ b/archhatch/singleton_roles/register_host.py
@@ -158,7 +158,7 @@
         for key, duty in state["val"].get("duties", {}).items():
             self.watch.note(key, duty["fence"], duty["renewals"], now)
         self.watch.keep_only({key for name in self.known for key in self.duties(name)})
-        self.store.state_board.touch("ledger")
+        self.store.state_board.notify("ledger")
 
     # -- commands
 
@@ -188,7 +188,7 @@
 
     async def _ask(self, address: str, verb: str, doc: dict) -> dict | None:
         """A proposer's question to a voter, this store among them."""
-        if address == self.store.addr_of({"ip": self.store.settings.ip}):
+        if address == self.store.addr_of({"ip": self.store.settings.ip_address}):
             try:
                 return await self.store.verbs.table[verb](doc, b"")
             except CallRefusedError:
--- a/archhatch/store/departure.py
+++ b/archhatch/store/departure.py
@@ -30,7 +30,10 @@
         """Hand on every run and every item in hand, then wait until nobody needs this store, within a bound."""
         store = self.store
         end = store.clock.now() + store.settings.seconds("GraceS", BOUND)
-        steps = [store.task_group.once("leave", self._hand_on_all), store.task_group.once("leave", store.worker.leave)]
+        steps = [
+            store.task_group.spawn("leave", self._hand_on_all),
+            store.task_group.spawn("leave", store.worker.leave),
+        ]
         await asyncio.wait(steps, timeout=store.settings.seconds("GraceS", BOUND))
         for leadership in list(store.leaderships.values()):
             leadership.over()
--- a/archhatch/store/evacuation.py
+++ b/archhatch/store/evacuation.py
@@ -13,7 +13,7 @@
 class EvacuationSupport:
     """What the evacuations of the feed ask of the runs that this store leads.
 
-    >>> # support = EvacuationSupport(store); task_group.keep("evacuation", support.run)
+    >>> # support = EvacuationSupport(store); task_group.run_forever("evacuation", support.run)
     >>> # support.leads_elsewhere("service")
     """
 
--- a/archhatch/store/join.py
+++ b/archhatch/store/join.py
@@ -16,7 +16,7 @@
 class StoreJoin:
     """Follows the news of the registers for this store.
 
-    >>> # joining = StoreJoin(store); task_group.keep("parts", joining.run)
+    >>> # joining = StoreJoin(store); task_group.run_forever("parts", joining.run)
     """
 
     def __init__(self, store):
@@ -34,7 +34,7 @@
                 await self.join()
             store.membership.ping_all(only_new=True)
             for name in ("work", "orders", "members"):
-                store.state_board.touch(name)
+                store.state_board.notify(name)
             turn = await store.state_board.wait_for_change(
                 "parts", turn, store.heartbeat_interval_s * (CALM if store.ready else 1)
             )
@@ -72,7 +72,7 @@
         """This disk's copies were replaced by others while it was away: begin anew under another id, which counts only
         once it stands on the disk."""
         store = self.store
-        retired = store.settings.node in register.get("retired", {})
+        retired = store.settings.node_name in register.get("retired", {})
         if store.ready:
             store.log.warning("store {} was dropped; {}", store.id, "it is retired" if retired else "it starts over")
         store.ready = False
--- a/archhatch/store/lease_watch.py
+++ b/archhatch/store/lease_watch.py
@@ -20,7 +20,7 @@
 class LeaseWatch:
     """Looks after every run at each heartbeat; what it does takes calls, so each run has one task at most.
 
-    >>> # watch = LeaseWatch(store); task_group.keep("watch", watch.run); await watch.hand_on(leadership)
+    >>> # watch = LeaseWatch(store); task_group.run_forever("watch", watch.run); await watch.hand_on(leadership)
     """
 
     def __init__(self, store):
@@ -51,7 +51,7 @@
             step = self.step(run, leases.get(run))
             task = self._tasks.get(run)
             if step is not Step.WAIT and (task is None or task.done()):
-                self._tasks[run] = store.task_group.once("lease", self._do, step, run, leases.get(run))
+                self._tasks[run] = store.task_group.spawn("lease", self._do, step, run, leases.get(run))
 
     # -- deciding
 
@@ -194,7 +194,7 @@
                 return
             old.over()
         leadership = store.leaderships[run] = LeadershipTerm(store, run, term)
-        store.task_group.once("reign", leadership.begin)
+        store.task_group.spawn("reign", leadership.begin)
 
     async def hand_on(self, run: str, term: int) -> bool:
         """Have the lease granted to the store that should lead next; then this one does not lead any more."""
--- a/archhatch/store/membership.py
+++ b/archhatch/store/membership.py
@@ -17,7 +17,7 @@
 class Membership:
     """Pings the stores of the membership and keeps their words.
 
-    >>> # membership = Membership(store); task_group.keep("pings", membership.run); membership.alive(sid)
+    >>> # membership = Membership(store); task_group.run_forever("pings", membership.run); membership.alive(sid)
     """
 
     def __init__(self, store):
@@ -156,7 +156,7 @@
         self.cards.hear(word.card, self.store.clock.now())
         before, self.words[sid] = self.words.get(sid), word
         if before is None or (before.takes, before.departing) != (word.takes, word.departing):
-            self.store.state_board.touch("members")
+            self.store.state_board.notify("members")
         if word.promised is not None:
             self.proofs[sid] = (asked_at, word.promised)
 
@@ -177,7 +177,7 @@
             task = self._pings.get(sid)
             if sid == store.id or (task is not None and not task.done()) or (only_new and sid in self.words):
                 continue
-            self._pings[sid] = store.task_group.once("ping", self.ping, sid, member["addr"])
+            self._pings[sid] = store.task_group.spawn("ping", self.ping, sid, member["addr"])
 
     def look_at_timers(self, slept_s: float) -> None:
         """Judge this node by how late it woke from one heartbeat's sleep."""
--- a/archhatch/store/node.py
+++ b/archhatch/store/node.py
@@ -46,14 +46,14 @@
         self.task_group = TaskGroup(log, self.counters)
         self.state_board = StateBoard()
         self.connections = ConnectionPool(self.counters)
-        self.port = settings.ports[0] + 1
+        self.port = settings.internal_ports[0] + 1
         self.incarnation = f"{random.getrandbits(48):012x}"
         self.heartbeat_interval_s = settings.seconds("ContactMs", 1 / 15)
         self.quiet_s = settings.seconds("ContactMs", 0.25)
         self.quorum = Quorum.of(settings)
         self.engines = Engines()
         self.load_balancer = LoadBalancer(
-            settings.zone, settings.node, rest_s=settings.seconds("ContactMs", 0.2), widen=0.5
+            settings.zone, settings.node_name, rest_s=settings.seconds("ContactMs", 0.2), widen=0.5
         )
         self.placement = self.load_balancer.placement
         self.plan: RoutingTable | None = None
@@ -96,7 +96,7 @@
         self.load_balancer.idle = self.upstream_client.idle
         if self.settings.platform_api is not None:
             platform = PlatformClient(
-                self.settings.platform_api, self.settings.node, self.upstream_client, self.clock, self.counters
+                self.settings.platform_api, self.settings.node_name, self.upstream_client, self.clock, self.counters
             )
             self.usage.platform = self.capacity.platform = platform
         self.config_watcher = ConfigWatcher(
@@ -120,7 +120,7 @@
         self.leader = PartitionLeader(self, self.settings.share_lock_s, self.settings.share_locks)
         self.worker = Worker(self)
         self.orders = WeightOrders(self)
-        await self.desk.open(f"{self.settings.ip}:{self.port}")
+        await self.desk.open(f"{self.settings.ip_address}:{self.port}")
         duties = {
             "news": self.config_watcher.run,
             "parts": self.joining.run,
@@ -144,7 +144,7 @@
         if self.capacity.enabled:
             duties["capacity lease"] = self.capacity.lease.run
         for name, duty in duties.items():
-            self.task_group.keep(name, duty)
+            self.task_group.run_forever(name, duty)
         self.log.info("store {} is up; lots={} bytes={}", self.id, len(self.record_store.batch_jobs), self.wal.size)
 
     @property
@@ -162,8 +162,8 @@
         return {
             "id": self.id,
             "klass": "store",
-            "name": self.settings.node,
-            "ip": self.settings.ip,
+            "name": self.settings.node_name,
+            "ip": self.settings.ip_address,
             "zone": self.settings.zone,
             "life": self.incarnation,
         }
@@ -172,13 +172,13 @@
         """Hand on what this store leads, have its copies made elsewhere, then end."""
         self.leaving = True
         await Departure(self).run()
-        await self.task_group.end()
+        await self.task_group.cancel_all()
         await self.desk.close()
         await self.upstream_client.close()
         self.connections.end()
         await self.ledger.close()
         await self.wal.close()
-        self.log.info("counters {}", self.counters.line())
+        self.log.info("counters {}", self.counters.summary())
 
     # -- what others and the news say
 
@@ -251,6 +251,6 @@
             self.load_balancer.fold(entries)
             self.engines.fold(entries)
             if entries:
-                self.state_board.touch("work")
-                self.state_board.touch("orders")
+                self.state_board.notify("work")
+                self.state_board.notify("orders")
             turn = await self.state_board.wait_for_change("roll", turn)
--- a/archhatch/store/proxy.py
+++ b/archhatch/store/proxy.py
@@ -48,7 +48,7 @@
             )
         finally:
             line.under_way -= 1
-            store.state_board.touch("score")  # reward calls may wait for the place
+            store.state_board.notify("score")  # reward calls may wait for the place
         now = store.clock.now()
         store.load_balancer.judge(line, answer, now, now - began, route.aim_s * 0.3)
         heads = [list(head) for head in answer.heads]
--- a/archhatch/store/repair.py
+++ b/archhatch/store/repair.py
@@ -14,7 +14,8 @@
 class Repair:
     """Rounds of upkeep, at once when the stores change.
 
-    >>> # repair = Repair(store); task_group.keep("mend", repair.run); task_group.keep("disk", repair.probe_disk)
+    >>> # repair = Repair(store); task_group.run_forever("mend", repair.run)
+    >>> # task_group.run_forever("disk", repair.probe_disk)
     """
 
     def __init__(self, store):
--- a/archhatch/usage/counter.py
+++ b/archhatch/usage/counter.py
@@ -47,7 +47,7 @@
 class UsageSender:
     """Counts an edge's requests and tells the sums.
 
-    >>> # teller = UsageSender(edge); task_group.keep("usage", teller.run); teller.began("tenant", clock.now())
+    >>> # teller = UsageSender(edge); task_group.run_forever("usage", teller.run); teller.began("tenant", clock.now())
     """
 
     def __init__(self, settings, config_watcher, lines, clock, counters, incarnation: str):
@@ -98,7 +98,7 @@
         version = self.counter.version
         doc = {
             "to": sid,
-            "edge": self.settings.node,
+            "edge": self.settings.node_name,
             "life": self.incarnation,
             "version": version,
             "sums": {str(window): sums for window, sums in self.counter.sums.items()},
--- a/archhatch/usage/reporter.py
+++ b/archhatch/usage/reporter.py
@@ -25,7 +25,7 @@
 class UsageReporter:
     """run() reports windows while this store holds the duty's lease; tell() takes the edges' words all the time.
 
-    >>> # reporter = UsageReporter(store); task_group.keep("usage", reporter.run)
+    >>> # reporter = UsageReporter(store); task_group.run_forever("usage", reporter.run)
     """
 
     def __init__(self, store, platform: PlatformClient | None = None):
@@ -71,7 +71,7 @@
         for key in self._open(duties) + self._due(duties, now):
             task = self._sending.get(key)
             if task is None or task.done():
-                self._sending[key] = self.store.task_group.once("usage", self._report, key)
+                self._sending[key] = self.store.task_group.spawn("usage", self._report, key)
         self._sending = {key: task for key, task in self._sending.items() if not task.done()}
 
     def _open(self, duties: dict) -> list:
--- a/tests/consensus/test_consensus.py
+++ b/tests/consensus/test_consensus.py
@@ -314,7 +314,7 @@
         k = Acceptor("p", MemBook(), Counters())
         new, old = ({"stamp": s, "val": {}, "voters": {}, "prev": None} for s in (5, 4))
         assert (await k.accept((2, "b"), new))["ok"] and not (await k.accept((2, "b"), old))["ok"]
-        assert k.counters.all["part.accept_stale"] == 1
+        assert k.counters.counts["part.accept_stale"] == 1
 
     run(go())
 
@@ -355,7 +355,7 @@
         own._ask = turned
         with pytest.raises(UnclearResultError):
             await own.execute("put", {"v": 2})
-        assert count is None or net.nodes["a"]["ctr"].all[count] >= 1
+        assert count is None or net.nodes["a"]["ctr"].counts[count] >= 1
         own._ask = ask
         assert await own.execute("put", {"v": 3}) == (1000, 3)
 
@@ -368,6 +368,8 @@
         counters = Counters()
         keeper = Acceptor("p", MemBook(), counters)
         await keeper.prepare((2, "a"))
-        assert (await keeper.confirm(proposal_number))["ok"] is ok and counters.all["part.confirm_refused"] == (not ok)
+        assert (await keeper.confirm(proposal_number))["ok"] is ok and counters.counts["part.confirm_refused"] == (
+            not ok
+        )
 
     run(go())
--- a/tests/control/test_control_safety.py
+++ b/tests/control/test_control_safety.py
@@ -202,7 +202,7 @@
         quiet_s=BOUND,
         counters=Counters(),
         contact=MajorityContact(60.0),
-        settings=SimpleNamespace(tolerate=1, seconds=lambda *a: 1.0),
+        settings=SimpleNamespace(tolerated_machines=1, seconds=lambda *a: 1.0),
         available=lambda n: True,
     )
     registers = Registers(node)
@@ -218,7 +218,9 @@
 
 def test_owners_follow_the_chosen_state_not_one_that_may_never_be():
     node = SimpleNamespace(
-        counters=Counters(), settings=SimpleNamespace(tolerate=1, seconds=lambda *a: 1.0), available=lambda n: True
+        counters=Counters(),
+        settings=SimpleNamespace(tolerated_machines=1, seconds=lambda *a: 1.0),
+        available=lambda n: True,
     )
     registers = Registers(node)
     registers.known["plan"] = {"stamp": 4, "val": {}, "voters": VOTERS, "prev": None}
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -103,7 +103,7 @@
 
     def reader(self):
         settings = types.SimpleNamespace(
-            ports=(7380, 7390), seeds=("10.0.0.1:1",), seconds=lambda name, ratio=1.0: ratio
+            internal_ports=(7380, 7390), seed_peers=("10.0.0.1:1",), seconds=lambda name, ratio=1.0: ratio
         )
         return ConfigWatcher(settings, {"id": "e", "klass": "edge"}, None, StateBoard(), HandClock(), Counters())
 
@@ -133,7 +133,7 @@
             assert early.shards["plan"]["stores"] == stores and early.stamps["plan"] == version
         await world.bring(late)
         assert late.shards == early.shards
-        assert early.counters.all.get("news.other_base", 0) == 0 and world.node.counters.all["feed.changes"] == 10
+        assert early.counters.counts.get("news.other_base", 0) == 0 and world.node.counters.counts["feed.changes"] == 10
 
     run(go())
 
@@ -159,6 +159,8 @@
     change = {"stamp": 6, "base": 5, "changes": [{"in": {"a": {"is": 2}}, "drop": []}]}
     doc = {"life": "L", "turn": 0, "cores": [], "busy": {}, "roll": [], "parts": {"p0": change}}
     reader.fold(doc)
-    assert (reader.stamps["p0"], reader.shards["p0"]) == (4, {"a": 1}) and reader.counters.all["news.other_base"] == 1
+    assert (reader.stamps["p0"], reader.shards["p0"]) == (4, {"a": 1}) and reader.counters.counts[
+        "news.other_base"
+    ] == 1
     reader.fold({**doc, "parts": {"p0": {**change, "base": 4}}})
     assert (reader.stamps["p0"], reader.shards["p0"]) == (6, {"a": 2})
--- a/tests/data_plane/test_hedging.py
+++ b/tests/data_plane/test_hedging.py
@@ -106,7 +106,7 @@
         res = await fwd.run(Req, route, list(Req.headers.items()), b"")
         assert res.status == status
         assert len(fwd.upstream_client.sent) == len({i for i, _ in fwd.upstream_client.sent}) == sends <= most
-        assert fwd.counters.all.get("send.early", 0) == early
+        assert fwd.counters.counts.get("send.early", 0) == early
         assert {m for _, m in fwd.upstream_client.sent} == {"again" if kind == "idempotent" else "once"}
 
     run(go())
--- a/tests/data_plane/test_job_handlers.py
+++ b/tests/data_plane/test_job_handlers.py
@@ -113,5 +113,5 @@
 
     edge.desk._nowhere = nowhere
     result = run(asyncio.wait_for(edge.desk._ask("lot.read", {"lot": "l", "after": 0, "hold": 0.0}, 0.0), 5))
-    assert result.status == status and edge.desk.counters.all["lot.other_life"] == counted
+    assert result.status == status and edge.desk.counters.counts["lot.other_life"] == counted
     assert edge.calls[0][1]["to"] == "s0"
--- a/tests/data_plane/test_store_proxies.py
+++ b/tests/data_plane/test_store_proxies.py
@@ -184,7 +184,7 @@
         return answers.pop(0)
 
     plan = RoutingTable({"Revision": 1, "RouteTable": [row], "ServiceTable": [{"Name": "s"}]})
-    state_board = types.SimpleNamespace(touch=lambda name: None)
+    state_board = types.SimpleNamespace(notify=lambda name: None)
     upstream_client = types.SimpleNamespace(send=send)
     st = types.SimpleNamespace(
         plan=plan,
--- a/tests/http_server/test_client_disconnect.py
+++ b/tests/http_server/test_client_disconnect.py
@@ -26,7 +26,7 @@
         with pytest.raises(asyncio.CancelledError):
             await task
         await asyncio.sleep(0)
-        assert len(fwd.upstream_client.sent) == out and fwd.counters.all["front.client_left"] == 1
+        assert len(fwd.upstream_client.sent) == out and fwd.counters.counts["front.client_left"] == 1
         assert (len(fwd.upstream_client.ended) == out) is broken and len(fwd.outlived) == (0 if broken else out)
         fwd.upstream_client.gate.set()
         await asyncio.gather(*fwd.outlived)
--- a/tests/http_server/test_server.py
+++ b/tests/http_server/test_server.py
@@ -31,7 +31,7 @@
     async def go():
         win = await window({"HeaderTimeoutMs": 40, "IdleTimeoutMs": 60000})
         rd, wr = await talk(win, *raws)
-        assert (await rd.read()).startswith(b"HTTP/1.1 408 ") and win.counters.all["http.slow_head"] == 1
+        assert (await rd.read()).startswith(b"HTTP/1.1 408 ") and win.counters.counts["http.slow_head"] == 1
         wr.close()
         await win.close(0)
 
--- a/tests/jobs/test_quorum.py
+++ b/tests/jobs/test_quorum.py
@@ -266,7 +266,7 @@
         desk.config_watcher.shards["plan"] = site.value
         assert not await desk._nowhere("l") and await desk._nowhere("x")
         site.at["p0"].id = "another"  # what stands there now is not the member that was asked
-        assert await desk._lacks("p0:9", "s0", "x") is None and desk.counters.all["lot.other_life"] == 1
+        assert await desk._lacks("p0:9", "s0", "x") is None and desk.counters.counts["lot.other_life"] == 1
 
     run(go())
 
@@ -412,7 +412,7 @@
         site = Site(clock, quorum_settings(Machines=1), 4)
         leadership = await accepted(site, "p0")
         await leadership.mend()
-        assert len(site.holders("l")) == 2 and "mend.records" not in leadership.store.counters.all
+        assert len(site.holders("l")) == 2 and "mend.records" not in leadership.store.counters.counts
         site.dark = {next(p for p in site.holders("l") if p != "p0")}
         await leadership.mend()
         assert len(site.holders("l")) == 3
@@ -440,7 +440,7 @@
     async def go():
         site = Site(clock, quorum_settings(Machines=1), 4)
         leadership = await accepted(site, "p0")
-        counters = leadership.store.counters.all
+        counters = leadership.store.counters.counts
         await leadership.mend()
         before = counters["mend.looked"], counters.get("mend.records", 0)
         change(site)
@@ -591,7 +591,7 @@
         change(site)
         record = Record({"k": "E", "lot": "l", "run": "s"})
         assert await store.replicator.send("s1", "s", 1, [record]) is out
-        got = {k: v for k, v in store.counters.all.items() if k.startswith("copy.")}
+        got = {k: v for k, v in store.counters.counts.items() if k.startswith("copy.")}
         assert got == ({count: 1} if count else {}) and ("s1" in record.held) is (out is True)
 
     run(go())
@@ -614,7 +614,7 @@
         store.proofs.clear()
         change(site)
         await store.ping("s1", "p1")
-        assert leadership.fresh() is proven and store.counters.all["ping.other_life"] == counted
+        assert leadership.fresh() is proven and store.counters.counts["ping.other_life"] == counted
 
     run(go())
 
--- a/tests/membership/test_config_watcher.py
+++ b/tests/membership/test_config_watcher.py
@@ -34,7 +34,7 @@
     for n, s in enumerate(stamps):
         r.fold(feed_answer({"plan": s}, incarnation=f"core-{n}"))
     assert r.stamps == {"plan": held} and r.shards["plan"] == {"n": held}
-    assert r.counters.all["news.late_part"] == sum(s <= max(stamps[:n], default=0) for n, s in enumerate(stamps))
+    assert r.counters.counts["news.late_part"] == sum(s <= max(stamps[:n], default=0) for n, s in enumerate(stamps))
 
 
 def entry(state, seq, **kwargs):
@@ -56,7 +56,7 @@
     r = reader()
     for n, e in enumerate(ents):
         r.fold(feed_answer(registry=[e], incarnation=f"core-{n}"))
-    assert (r.registry["r"]["state"], r.registry["r"]["seq"]) == (state, seq) and r.counters.all[
+    assert (r.registry["r"]["state"], r.registry["r"]["seq"]) == (state, seq) and r.counters.counts[
         "news.late_entry"
     ] == late
 
@@ -139,7 +139,7 @@
         r.at = 1
         for _ in range(3):
             await r.ask_once()
-        assert nodes.asked == ["a", "b", "c", "c"] and r.stamps["plan"] == 6 and r.counters.all["news.behind"] == 1
+        assert nodes.asked == ["a", "b", "c", "c"] and r.stamps["plan"] == 6 and r.counters.counts["news.behind"] == 1
 
     run(go())
 
@@ -170,7 +170,9 @@
         r, nodes, _ = reading({"a": 5})
         r.hold_s, nodes.takes = 1.0, takes
         assert (
-            await r.ask_once() and ("plan" in r.stamps) is folded and r.counters.all["news.asked_anew"] == (not folded)
+            await r.ask_once()
+            and ("plan" in r.stamps) is folded
+            and r.counters.counts["news.asked_anew"] == (not folded)
         )
         nodes.takes = 0.0
         assert await r.ask_once() and r.stamps["plan"] == 5 and nodes.asked == ["a", "a"]
@@ -188,7 +190,7 @@
         assert (
             r.stamps["plan"] == 6
             and r.incarnation == "l2"
-            and r.counters.all["news.old_life"] == 1
+            and r.counters.counts["news.old_life"] == 1
             and r.candidates()[0] == "b"
         )
 
@@ -201,7 +203,7 @@
         nodes.ids = {"a": "n1", "b": "n2"}
         assert await r.ask_once()
         nodes.ids["a"] = "n3"
-        assert not await r.ask_once() and r.counters.all["news.other_node"] == 1  # it asks elsewhere
+        assert not await r.ask_once() and r.counters.counts["news.other_node"] == 1  # it asks elsewhere
         assert await r.ask_once() and r.sources.node("a") == "n3"
         assert await r.do("plan", "x", {}) == (2008, "dropped") and nodes.asked[-1] == "a"  # the command's own word
 
--- a/tests/region_policy/test_regions_system.py
+++ b/tests/region_policy/test_regions_system.py
@@ -116,7 +116,7 @@
     async def finish(self):
         self.beats.cancel()
         edge = self.edges[1]
-        await edge.task_group.end()
+        await edge.task_group.cancel_all()
         edge.connections.end()
         await edge.window.close(0)
         await edge.door.close(0)
--- a/tests/rollout_controller/test_leadership_term.py
+++ b/tests/rollout_controller/test_leadership_term.py
@@ -198,7 +198,7 @@
             t.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         assert not good(leadership)
-        turn = store.state_board.turn(name)
+        turn = store.state_board.version(name)
         store.replicator.gate.set()
         while not good(leadership):
             turn = await store.state_board.wait_for_change(name, turn)
--- a/tests/rollout_controller/test_load_limit.py
+++ b/tests/rollout_controller/test_load_limit.py
@@ -57,18 +57,18 @@
     clock.at += 0.5
     live.leave("s")
     clock.at += 0.5
-    assert state_board.turn("live") == 1 and live.tally() == {"s": 1.5}
+    assert state_board.version("live") == 1 and live.tally() == {"s": 1.5}
     clock.at += 0.9
     assert live.tally() == {"s": 1.0}
     live.leave("s")
     clock.at += 0.9
     live.enter("s")
-    assert state_board.turn("live") == 1
+    assert state_board.version("live") == 1
     live.leave("s")
     assert live.tally() == {"s": 0.01} and live.tally() == {}
     clock.at += 1.1
     live.enter("s")
-    assert state_board.turn("live") == 2
+    assert state_board.version("live") == 2
 
 
 def test_places_are_given_back_and_nothing_is_lost_or_doubled(run, tmp_path):
@@ -86,7 +86,7 @@
             store = await asyncio.wait_for(wait_busy(w, r, 4), 30)
             # live requests return: rollouts leave their places, and the answer does not wait for them
             assert (await w.ask("POST", "/v/live", b"now", rid="v1"))[0] == 200
-            await w.until(store.state_board, "work", lambda: store.counters.all["item.recalled"] >= 1)
+            await w.until(store.state_board, "work", lambda: store.counters.counts["item.recalled"] >= 1)
             await w.until(store.state_board, "work", lambda: store.engines.all[r.iid].busy() <= 3)
             # the lull is back: they go on behind the events that were kept
             await w.until(store.state_board, "work", lambda: store.engines.all[r.iid].busy() == 4)
--- a/tests/rollout_controller/test_scoring.py
+++ b/tests/rollout_controller/test_scoring.py
@@ -146,7 +146,7 @@
         store.upstream_client.gate.set()
         assert [await t for t in tasks[2:]] == ["seal.c", "seal.d"]
         touch["b"] = True
-        store.state_board.touch("score")
+        store.state_board.notify("score")
         assert await tasks[1] == "seal.b"
         tasks[0].cancel()
         await asyncio.wait([tasks[0]])
--- a/tests/rollout_controller/test_weight_orders.py
+++ b/tests/rollout_controller/test_weight_orders.py
@@ -119,7 +119,7 @@
     store.leaderships = {"s": FakeReign(clock)}
     store.tasks = []
     store.task_group = SimpleNamespace(
-        once=lambda name, function, *args: store.tasks.append(asyncio.ensure_future(function(*args)))
+        spawn=lambda name, function, *args: store.tasks.append(asyncio.ensure_future(function(*args)))
     )
     return store, store.leaderships["s"], WeightOrders(store)
 
@@ -203,7 +203,7 @@
             await asyncio.gather(*store.tasks)
             store.tasks.clear()
             assert not orders._start_one()  # it is left alone for a while
-        assert len(rep.orders) == 1 and rep.reports == 3 and store.counters.all["order.still_unclear"] == 3
+        assert len(rep.orders) == 1 and rep.reports == 3 and store.counters.counts["order.still_unclear"] == 3
         rep.dark = False
         assert await orders._cleared(e) and e.count == 0
 
@@ -223,7 +223,7 @@
         rep.connecting = thaw
         orders._start_one()
         await asyncio.gather(*store.tasks)
-        assert rep.orders == [] and leadership.noted == ["e0"] and store.counters.all["order.too_late"] == 1
+        assert rep.orders == [] and leadership.noted == ["e0"] and store.counters.counts["order.too_late"] == 1
         assert store.engines.all["e0"].unclear_at is None and orders.out == 0
 
     run(go())
--- a/tests/rpc/test_rpc.py
+++ b/tests/rpc/test_rpc.py
@@ -134,7 +134,7 @@
         rd, wr = await asyncio.open_connection("127.0.0.1", desk.port())
         wr.write(b"\x00\x00\x00\x02abcdXY")
         assert await rd.read() == b""
-        assert (await good.call("echo", 2))[1] == 2 and counters.all["rpc.bad_frame"] == 1
+        assert (await good.call("echo", 2))[1] == 2 and counters.counts["rpc.bad_frame"] == 1
         lines.end()
         await desk.close()
 
@@ -156,7 +156,7 @@
         line = lines.to(f"127.0.0.1:{srv.sockets[0].getsockname()[1]}")
         assert (await line.call("x"))[1] == 1
         assert (await line.call("x"))[1] == 2
-        assert counters.all["rpc.late_answer"] == 3  # another turn's, the doubled one, the first call's once more
+        assert counters.counts["rpc.late_answer"] == 3  # another turn's, the doubled one, the first call's once more
         lines.end()
         srv.close()
 
@@ -182,7 +182,7 @@
             await line.call("x", timeout_s=0.01)
         nxt = asyncio.ensure_future(line.call("y", timeout_s=30))
         gate.set()
-        assert (await nxt)[1] == 2 and counters.all["rpc.late_answer"] == 1
+        assert (await nxt)[1] == 2 and counters.counts["rpc.late_answer"] == 1
         lines.end()
         srv.close()
 
@@ -226,7 +226,7 @@
         pool = TcpNetwork().pool(counters)
         answer = await pool.to(f"127.0.0.1:{server.port()}").call("mark", 1, to=to)
         assert answer[0] == code and ran == [1] * (code == 1000) and is_misdirected(*answer[:2]) is (code == 2008)
-        assert counters.all["rpc.other_node"] == (code == 2008)
+        assert counters.counts["rpc.other_node"] == (code == 2008)
         pool.end()
         await server.close()
 
@@ -245,7 +245,7 @@
         arrived = clock.now()
         clock.at += waited_s
         await server._run(Envelope(call=1, verb="mark", within_ms=within_ms), Sink(), arrived)
-        assert bool(ran) is runs and counters.all["rpc.expired"] == (not runs)
+        assert bool(ran) is runs and counters.counts["rpc.expired"] == (not runs)
 
     run(go())
 
@@ -327,7 +327,7 @@
         new = await calls.get()
         assert new.call != old.call
         writers[1].write(answer(old, b"1") + answer(new, b"2"))
-        assert (await second)[1] == 2 and counters.all["rpc.late_answer"] == 1
+        assert (await second)[1] == 2 and counters.counts["rpc.late_answer"] == 1
         connection.disconnect()
         listener.close()
 
@@ -351,7 +351,7 @@
         second = asyncio.ensure_future(two.call("x", timeout_s=40))
         other = await calls.get()
         writers[1].write(answer(called, b"9") + answer(other, b"2"))
-        assert (await second)[1] == 2 and not first.done() and counters.all["rpc.late_answer"] == 1
+        assert (await second)[1] == 2 and not first.done() and counters.counts["rpc.late_answer"] == 1
         writers[0].write(answer(called, b"1"))
         assert (await first)[1] == 1
         one.disconnect()
--- a/tests/runtime/test_settings.py
+++ b/tests/runtime/test_settings.py
@@ -17,7 +17,9 @@
 
 def test_good_settings_and_unknown_fields():
     settings = check_settings(GOOD)
-    assert settings.node == "n1" and settings.seconds("ContactMs", 0.5) == 1.5 and settings.seconds("GraceS") == 8.0
+    assert (
+        settings.node_name == "n1" and settings.seconds("ContactMs", 0.5) == 1.5 and settings.seconds("GraceS") == 8.0
+    )
 
 
 @pytest.mark.parametrize(
@@ -69,7 +71,11 @@
 )
 def test_what_is_tolerated(doc, machines, zones, regions):
     settings = check_settings({**GOOD, "FaultTolerance": doc})
-    assert (settings.tolerate, settings.tolerate_zones, settings.tolerate_regions) == (machines, zones, regions)
+    assert (settings.tolerated_machines, settings.tolerated_zones, settings.tolerated_regions) == (
+        machines,
+        zones,
+        regions,
+    )
 
 
 @pytest.mark.parametrize("raw", [b"", b"[1]", b"{", b"\xff"])
@@ -85,7 +91,7 @@
     path = tmp_path / "s.json"
     path.write_text(json.dumps(GOOD))
     monkeypatch.setenv("ARCHHATCH_CONFIG", str(path))
-    assert read_settings().ip == "10.0.0.1"
+    assert read_settings().ip_address == "10.0.0.1"
 
 
 def test_missing_file():
--- a/tests/share_group/test_share_group.py
+++ b/tests/share_group/test_share_group.py
@@ -15,7 +15,7 @@
 
 
 def count(w, name):
-    return sum(s.counters.all[name] for s in w.stores.values())
+    return sum(s.counters.counts[name] for s in w.stores.values())
 
 
 def whole(rows, total):
@@ -69,8 +69,8 @@
             assert await w.hand_in("lot1", batch_job(groups=4)) == 202
             whole(await w.read_all("lot1"), 8)
             lead = holder(w)
-            assert lead.counters.all["item.send"] == 0 and lead.counters.all["share.acquired"] == 8
-            assert count(w, "item.send") == 8 and lead.counters.all["share.accept"] == 8
+            assert lead.counters.counts["item.send"] == 0 and lead.counters.counts["share.acquired"] == 8
+            assert count(w, "item.send") == 8 and lead.counters.counts["share.accept"] == 8
         finally:
             await w.end()
 
@@ -87,7 +87,7 @@
             await w.kill(w.stores.pop(i))
             go_on(w)
             whole(await w.read_all("lot1"), 4)
-            assert lead.counters.all["share.worker_gone"] >= 1
+            assert lead.counters.counts["share.worker_gone"] >= 1
         finally:
             go_on(w)
             await w.end()
@@ -111,7 +111,7 @@
             lead.leader.sync()
             go_on(w)
             whole(await w.read_all("lot1"), 4)
-            assert lead.counters.all["share.lock_expired"] == 4
+            assert lead.counters.counts["share.lock_expired"] == 4
             # and what they wanted to settle late counts for nothing, whatever it says
             doc = {"InstanceId": "a0-0", "OperState": "complete", "Text": "stale", "WeightVersions": [1], "Score": "x"}
             leadership = holder(w).leaderships["llm"]
@@ -159,7 +159,7 @@
             await w.kill(w.stores.pop(i))
             whole(await w.read_all("lot1"), 4)
             after = holder(w)
-            assert after is not lead and after.counters.all["share.attached"] >= 1
+            assert after is not lead and after.counters.counts["share.attached"] >= 1
             firsts = [first for r in w.replicas[:2] for _, first, _ in r.runs]
             assert firsts == [1] * 4  # each ran once: the new leader took up what workers still held
         finally:
@@ -208,13 +208,13 @@
                 with pytest.raises(CallRefusedError) as no:
                     await lead.verbs.table[verb]({**good, **change}, b"[]")
                 assert no.value.code == code, (verb, change)
-            assert lead.counters.all["share.other_epoch"] == 3 and lead.counters.all["call.other_life"] == 2
+            assert lead.counters.counts["share.other_epoch"] == 3 and lead.counters.counts["call.other_life"] == 2
             bad = [
                 {"part": p, "off": o, "dc": 1, "kind": "accept", "engine": "", "signs": [], "doc": {}}
                 for p, o in (("m", 0), ("m", 10**9), ("m", -1), ("nobody", 0))
             ]
             out = await lead.leader.commit(good, orjson.dumps(bad))
-            assert out["done"] == [False] * 4 and lead.counters.all["share.refused"] == 4
+            assert out["done"] == [False] * 4 and lead.counters.counts["share.refused"] == 4
             assert await w.read_all("lot1") == rows
         finally:
             await w.end()
@@ -284,7 +284,7 @@
             i, leaver = driver(w)
             w.stores.pop(i)
             await leaver.leave()
-            assert lead.counters.all["share.release"] >= 1
+            assert lead.counters.counts["share.release"] >= 1
             go_on(w)
             whole(await w.read_all("lot1"), 4)
             assert 3 in [
@@ -394,7 +394,7 @@
             await w.until(lead.state_board, "nothing", lambda: not any(s.cancellations for s in shard.workers.values()))
             w.replicas[2].mood.clear()
             whole(await w.read_all("lot1"), 4)
-            assert lead.counters.all["share.release"] == 0 and lead.counters.all["share.acquired"] == 4
+            assert lead.counters.counts["share.release"] == 0 and lead.counters.counts["share.acquired"] == 4
         finally:
             await w.end()
 
--- a/tests/share_group/test_window.py
+++ b/tests/share_group/test_window.py
@@ -184,8 +184,8 @@
     _, records = history(7)
     counters = Counters()
     w, _ = restored(harm(records), counters)
-    assert len([k for k in w.restored_counts]) <= 7 and (counted is None or counters.all[counted] == 1)
-    assert sum(1 for c in counters.all.values()) == (1 if counted else 0)
+    assert len([k for k in w.restored_counts]) <= 7 and (counted is None or counters.counts[counted] == 1)
+    assert sum(1 for c in counters.counts.values()) == (1 if counted else 0)
     base = 1 if any(r.head["k"] == "S" for r in records) and counted != "share.snapshot_damaged" else 0
     known = {o for o in range(7)} if deltas == 6 else {o for o in range(deltas + base)}
     if deltas:
@@ -247,7 +247,7 @@
         assert (
             await record_store.append([record]) == [False]
             and not record_store.windows
-            and counters.all["shelf.stale_term"] == 1
+            and counters.counts["shelf.stale_term"] == 1
         )
 
     run(go())
--- a/tests/singleton_roles/test_singleton_roles_system.py
+++ b/tests/singleton_roles/test_singleton_roles_system.py
@@ -125,7 +125,7 @@
             await w.until(w.edge.state_board, "nothing", lambda: total(platform.reports()) == sent)
             assert not platform.faults()
             holders = {call.holder for call in platform.calls}
-            assert (first.settings.node in holders) is (trouble != "holder killed") and len(holders) == 1
+            assert (first.settings.node_name in holders) is (trouble != "holder killed") and len(holders) == 1
         finally:
             await finish(w, platform)
 
@@ -148,7 +148,7 @@
 
 
 def tried(store, trouble):
-    return store.counters.all["platform.429" if trouble == 429 else "platform.unanswered"]
+    return store.counters.counts["platform.429" if trouble == 429 else "platform.unanswered"]
 
 
 def total(windows):
@@ -217,7 +217,7 @@
 async def operators_see_it(w, holder_now):
     status, doc = await w.call("GET", "/api/duties")
     rows = {row["Name"]: row for row in doc["DutyList"]}
-    assert status == 200 and rows["capacity"]["Owner"] == holder_now.settings.node
+    assert status == 200 and rows["capacity"]["Owner"] == holder_now.settings.node_name
     assert rows["capacity/llm~z1:1"]["OperState"] == "COMMITTED"
     cases = [  # method, path, status, code
         ("GET", "/api/duties/capacity", 200, None),
--- a/tests/store/test_disk.py
+++ b/tests/store/test_disk.py
@@ -28,7 +28,7 @@
         else:
             with pytest.raises(LogError):
                 await disk.watch(write())
-        assert disk.takes is takes and disk.counters.all["disk.failed"] == count and disk.oldest_write_s() == 0.0
+        assert disk.takes is takes and disk.counters.counts["disk.failed"] == count and disk.oldest_write_s() == 0.0
 
     run(go())
 
--- a/tests/support/evacuation_rig.py
+++ b/tests/support/evacuation_rig.py
@@ -214,7 +214,7 @@
         replicas = {replica.address: replica.zone for replica in day.replicas}
         self.zones = {
             **replicas,
-            **{node.settings.ip: node.settings.zone for node in [*day.nodes(), *day.cores.values()]},
+            **{node.settings.ip_address: node.settings.zone for node in [*day.nodes(), *day.cores.values()]},
         }
         for node in day.nodes():
             self._watch(node)
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -14,7 +14,7 @@
     def now(self) -> float:
         return self.at
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         return self.day_starts + self.at
 
 
--- a/tests/support/standins.py
+++ b/tests/support/standins.py
@@ -185,7 +185,7 @@
 
     async def kill(self, node):
         """What a killed process leaves: closed sockets and its disk."""
-        await node.task_group.end()
+        await node.task_group.cancel_all()
         await node.desk.close()
         node.connections.end()
         if hasattr(node, "window"):
@@ -200,7 +200,7 @@
         await self.http.close()
         for node in [*self.stores.values(), *self.cores.values()]:
             await self.kill(node)
-        await self.edge.task_group.end()
+        await self.edge.task_group.cancel_all()
         self.edge.connections.end()
         await self.edge.window.close(0)
         await self.edge.door.close(0)
@@ -211,7 +211,7 @@
     async def until(self, state_board, name, function):
         """Wait on a blackboard until fn() holds."""
         while True:
-            turn = state_board.turn(name)
+            turn = state_board.version(name)
             out = function()
             if out:
                 return out
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -102,13 +102,13 @@
             assert await w.hand_in("lot1", batch_job()) == 202
             rows = await w.read_all("lot1")
             i = next(i for i, s in w.stores.items() if s is holder(w))
-            name = w.stores[i].settings.node
+            name = w.stores[i].settings.node_name
             assert (await w.call("POST", "/api/retire/nobody", {"DeadlineS": 9}))[0] == 404
             assert (await w.call("POST", f"/api/retire/{name}", {"DeadlineS": 9}))[0] == 200
             while (await w.call("GET", f"/api/retire/{name}"))[1]["OperState"] != "complete":
                 pass
             await kill_store(w, i)
-            other = next(s.settings.node for s in w.stores.values())
+            other = next(s.settings.node_name for s in w.stores.values())
             assert (await w.call("POST", f"/api/retire/{other}", {"DeadlineS": 9}))[0] == 409
             await lose_disk(w, next(iter(w.stores)))
             assert await w.read_all("lot1") == rows
@@ -152,7 +152,7 @@
             i = next(i for i, s in w.stores.items() if s is holder(w))
             old = w.stores.pop(i)
             await old.leave()
-            assert old.counters.all["tenure.claim.1000"] >= 2  # its own, and the one it made for the next
+            assert old.counters.counts["tenure.claim.1000"] >= 2  # its own, and the one it made for the next
             assert await w.read_all("lot1") == rows
         finally:
             await w.end()
@@ -303,7 +303,7 @@
             assert len(rows) == 4 and all(x["OperState"] == "complete" for x in rows)
             for x in rows:
                 assert x["Text"].split("\n") == [f"{x['InstanceId']}/{n}" for n in (1, 2, 3, 4)]
-            assert sum(s.counters.all["item.silent"] for s in w.stores.values()) >= 1  # at the worker that drove it
+            assert sum(s.counters.counts["item.silent"] for s in w.stores.values()) >= 1  # at the worker that drove it
             assert any(first == 3 for _, first, _ in w.replicas[1].runs)  # it went on behind what was there
         finally:
             w.replicas[0].gate.set()
@@ -362,7 +362,7 @@
             rows = await w.read_all("lot1")
             old = holder(w)
             leadership = next(r for r in old.leaderships.values() if r.state == "holding")
-            ip = old.settings.ip
+            ip = old.settings.ip_address
             # the edge still reaches it; stores and control nodes do not, nor it them
             cuts = [Cut(old, lambda a: True)] + [
                 Cut(n, lambda a: a == ip) for n in [*w.stores.values(), *w.cores.values()] if n is not old
@@ -436,7 +436,7 @@
 
 
 def test_the_time_of_day_is_read_in_one_place_and_used_in_one():
-    """Clocks of machines jump: nothing may hang on one of them. Only `Clock.wall` reads it, and only the control
+    """Clocks of machines jump: nothing may hang on one of them. Only `Clock.wall_time` reads it, and only the control
     nodes' pings use that, whose median is the agreed time."""
     import os
     import re
@@ -453,7 +453,7 @@
                 with open(path) as f:
                     text = f.read()
                 reads += [os.path.relpath(path, ROOT)] * len(bad.findall(text))
-                uses += [os.path.relpath(path, ROOT)] * len(re.findall(r"\.wall\(\)", text))
+                uses += [os.path.relpath(path, ROOT)] * len(re.findall(r"\.wall_time\(\)", text))
     assert seen > 40
     assert reads == ["archhatch/runtime/clock.py"]
     assert set(uses) == {"archhatch/runtime/clock.py", "archhatch/control/peers.py"}
--- a/tests/upstream/test_subset.py
+++ b/tests/upstream/test_subset.py
@@ -299,7 +299,7 @@
 
         async def call(address, verb, doc):
             assert [e["id"] for e in doc["roll"]] == ["i2"]
-            a.state_board.touch("asked")
+            a.state_board.notify("asked")
             return answer
 
         a.call = call
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -41,7 +41,7 @@
         agreed_time=lambda steady: steady,
         shards={"plan": {"ledger": {"accounting": {"voters": VOTERS, "stamp": 0}}}},
     )
-    settings = types.SimpleNamespace(node="e1", seconds=lambda name: 5.0)
+    settings = types.SimpleNamespace(node_name="e1", seconds=lambda name: 5.0)
     return UsageSender(settings, config_watcher, stores, clock, Counters(), incarnation)
 
 
--- a/tests/wal/test_log_faults.py
+++ b/tests/wal/test_log_faults.py
@@ -202,7 +202,7 @@
         await owner.put(b"b" * 20)
         await owner.log.close()
         assert check(disk, owner.acked) == [b"a" * 20, b"b" * 20]
-        assert owner.counters.all["wal.write_failed"] and owner.counters.all["wal.recovered"] == 1
+        assert owner.counters.counts["wal.write_failed"] and owner.counters.counts["wal.recovered"] == 1
 
     run(go())
 
@@ -221,7 +221,7 @@
         with pytest.raises(fault):
             await owner.log.append(b"b")
         await asyncio.gather(owner.put(b"c"), owner.put(b"d"))
-        assert owner.log.is_broken and owner.refused == [b"c", b"d"] and owner.counters.all["wal.refused"] == 2
+        assert owner.log.is_broken and owner.refused == [b"c", b"d"] and owner.counters.counts["wal.refused"] == 2
         disk.fails = lambda kind, n: False
         while owner.log.is_broken:
             await asyncio.sleep(0)
