--- a/archhatch/autoscaler/controller.py
+++ b/archhatch/autoscaler/controller.py
@@ -99,7 +99,7 @@
         if not places:
             return 0.0
         batch_jobs = self.store.membership.places_wanted(service)
-        live = self.store.config_watcher.busy.get(service, 0) / LIVE_SHARE
+        live = self.store.config_watcher.live_totals.get(service, 0) / LIVE_SHARE
         return (batch_jobs + live) / places
 
     # -- orders
--- a/archhatch/capacity/needs.py
+++ b/archhatch/capacity/needs.py
@@ -22,7 +22,7 @@
 def need(module: str, name: str, *methods: str):
     """A name of one of our modules, sure to have these methods; Missing tells which lacks.
 
-    >>> need("membership.replica_registry", "ReplicaRegistry", "beat", "since").__name__
+    >>> need("membership.replica_registry", "ReplicaRegistry", "record_heartbeat", "changes_since").__name__
     'ReplicaRegistry'
     """
     full = f"{ROOT}.{module}"
--- a/archhatch/capacity/probes/control.py
+++ b/archhatch/capacity/probes/control.py
@@ -15,9 +15,16 @@
 
 
 def full_roll(n: int):
-    registry = need("membership.replica_registry", "ReplicaRegistry", "beat", "since", "sweep", "beats_since")()
+    registry = need(
+        "membership.replica_registry",
+        "ReplicaRegistry",
+        "record_heartbeat",
+        "changes_since",
+        "sweep",
+        "heartbeats_since",
+    )()
     for i in range(n):
-        registry.beat(entry(i), 0.0)
+        registry.record_heartbeat(entry(i), 0.0)
     return registry
 
 
@@ -32,7 +39,7 @@
         "voters": {one.id: one.address},
     }
     for i in range(n):
-        one.registry.beat(entry(i), one.clock.now())
+        one.registry.record_heartbeat(entry(i), one.clock.now())
     return one
 
 
@@ -66,7 +73,7 @@
 
     def function():
         for ent in again:
-            registry.beat(ent, 1.0)
+            registry.record_heartbeat(ent, 1.0)
 
     yield function, 1
 
@@ -77,7 +84,7 @@
 
     def function():
         for _ in range(20):
-            registry.since(registry.turn)
+            registry.changes_since(registry.version)
 
     yield function, 20
 
@@ -101,9 +108,9 @@
 def told(n: int):
     """A control node that told another one all replicas, and since then heard a beat of each that says nothing new."""
     one = core(n)
-    one.peers.reports[OTHER] = need("control.peers", "PeerReport")("x", one.registry.beat_turn)
+    one.peers.reports[OTHER] = need("control.peers", "PeerReport")("x", one.registry.heartbeat_version)
     for i in range(n):
-        one.registry.beat(entry(i, 2), one.clock.now())
+        one.registry.record_heartbeat(entry(i, 2), one.clock.now())
     return one
 
 
@@ -123,11 +130,11 @@
     here, there = core(0), core(n)
     there.id = here.id  # the card of the same node: no second ping loop is begun
     here.peers.merge_ping(orjson.loads(orjson.dumps(there.peers.ping_document(OTHER))))  # the whole entries
-    there.peers.reports[OTHER] = need("control.peers", "PeerReport")("x", there.registry.beat_turn)
+    there.peers.reports[OTHER] = need("control.peers", "PeerReport")("x", there.registry.heartbeat_version)
     raws = []
     for k in range(5):
         for i in range(n):
-            there.registry.beat(entry(i, k + 2), there.clock.now())
+            there.registry.record_heartbeat(entry(i, k + 2), there.clock.now())
         raws.append(orjson.dumps(there.peers.ping_document(OTHER)))
 
     def function():
@@ -155,7 +162,7 @@
 async def _live_bytes(n):
     one = core(0)
     for i in range(n):
-        one.live.put(f"edge-region-{i % 421}", {f"service-{i // 421:02d}": 3.25}, one.clock.now())
+        one.live.record_edge(f"edge-region-{i % 421}", {f"service-{i // 421:02d}": 3.25}, one.clock.now())
     yield (lambda: len(orjson.dumps(one.peers.ping_document(OTHER)))), 1
 
 
@@ -176,7 +183,7 @@
 
     async def function():
         for _ in range(30):
-            await serve(one, "news", ask(one.registry.turn - 1, one.incarnation, {"plan": 5}))
+            await serve(one, "news", ask(one.registry.version - 1, one.incarnation, {"plan": 5}))
 
     yield function, 30
 
@@ -223,7 +230,7 @@
     seqs = itertools.count(1)
 
     def function():
-        reader.fold({"life": "x", "turn": next(seqs), "cores": [], "parts": {}, "busy": {}, "roll": fresh})
+        reader.apply_answer({"life": "x", "turn": next(seqs), "cores": [], "parts": {}, "busy": {}, "roll": fresh})
 
     fresh = [entry(i) for i in range(n)]
     yield function, 1
@@ -232,7 +239,7 @@
 def made_reader():
     """A reader of news that asks nobody."""
     b, frame = settings(), "runtime"
-    return need("membership", "ConfigWatcher", "fold", "take_roll")(
+    return need("membership", "ConfigWatcher", "apply_answer", "take_changed_replicas")(
         b, {"id": "e"}, None, need(frame, "StateBoard")(), need(frame, "Clock")(), need(frame, "Counters")()
     )
 
@@ -242,8 +249,8 @@
     def function():
         reader = made_reader()
         raw = orjson.dumps([entry(i) for i in range(n)])
-        reader.fold({"life": "x", "turn": 1, "cores": [], "parts": {}, "busy": {}, "roll": orjson.loads(raw)})
-        reader.take_roll()
+        reader.apply_answer({"life": "x", "turn": 1, "cores": [], "parts": {}, "busy": {}, "roll": orjson.loads(raw)})
+        reader.take_changed_replicas()
         return reader
 
     yield function, 1
--- a/archhatch/control/admin_api.py
+++ b/archhatch/control/admin_api.py
@@ -116,9 +116,9 @@
     async def record_heartbeat(self, request: HeartbeatRequest) -> Result:
         """Records a heartbeat; `draining` is acknowledged once a majority of the control nodes knows of it."""
         node, entry = self.node, request.entry
-        turn = node.registry.turn
-        node.registry.beat(entry, node.clock.now())
-        if node.registry.turn != turn:
+        turn = node.registry.version
+        node.registry.record_heartbeat(entry, node.clock.now())
+        if node.registry.version != turn:
             node.state_board.notify("news")
         if entry["state"] == "draining":
             await self._push_to_majority(entry)
@@ -127,9 +127,9 @@
     async def deregister(self, request: DeregisterRequest) -> Result:
         """Marks a replica as gone; acknowledged once a majority of the control nodes knows of it."""
         node = self.node
-        last = node.registry.all.get(request.replica_id) or _unknown_replica(request.replica_id)
+        last = node.registry.replicas.get(request.replica_id) or _unknown_replica(request.replica_id)
         entry = {**last, "state": "gone", "seq": last["seq"] + 1}
-        node.registry.beat(entry, node.clock.now())
+        node.registry.record_heartbeat(entry, node.clock.now())
         node.state_board.notify("news")
         await self._push_to_majority(entry)
         return json_result(DONE, {})
--- a/archhatch/control/agreement.py
+++ b/archhatch/control/agreement.py
@@ -244,7 +244,7 @@
 
     def _silent(self, voter: str, now: float) -> float:
         node = self.node
-        return 0.0 if voter == node.id else min(node.cores.silent(voter, now), now - node.started)
+        return 0.0 if voter == node.id else min(node.cores.silence_s(voter, now), now - node.started)
 
     def needed_for_leaving(self) -> bool:
         """Whether this node, which is to end, still votes somewhere although another could take its place."""
--- a/archhatch/control/feed.py
+++ b/archhatch/control/feed.py
@@ -30,7 +30,7 @@
         to another one."""
         node, now = self.node, self.node.clock.now()
         if doc["who"]["klass"] == "store":
-            node.stores.hear(doc["who"], now)
+            node.stores.record_contact(doc["who"], now)
         node.peers.merge_live_requests(doc["who"]["id"], doc["live"])
         node.regions.heed(doc.get("served", ()))
         end = now + doc["hold"]
@@ -50,8 +50,8 @@
         known, same = node.registers.known, doc["life"] == node.incarnation
         after = doc["turn"] if same else 0
         shards = {p: doc["stamps"].get(p) for p, s in known.items() if s["stamp"] > doc["stamps"].get(p, 0)}
-        busy = node.live.busy(node.clock.now())
-        if not (due or shards or node.registry.turn > after or not same or sorted(busy) != doc["busy"]):
+        busy = node.live.totals(node.clock.now())
+        if not (due or shards or node.registry.version > after or not same or sorted(busy) != doc["busy"]):
             return None
         cores = [node.address] + [c["addr"] for i, c in node.cores.cards.items() if node.available(i)]
         return orjson.dumps(
@@ -59,12 +59,12 @@
                 "parts": {shard: self.shard(shard, base) for shard, base in shards.items()},
                 "roll": self.registry(after),
                 "life": node.incarnation,
-                "turn": node.registry.turn,
+                "turn": node.registry.version,
                 "cores": cores,
                 "busy": busy,
                 "id": node.id,
                 "newest": node.registers.chosen,
-                "time": node.agreed_time.at(node.clock.now()) if node.agreed_time.known else None,
+                "time": node.agreed_time.at(node.clock.now()) if node.agreed_time.is_known else None,
             }
         )
 
@@ -91,10 +91,10 @@
 
     def registry(self, after: int) -> orjson.Fragment:
         """The registry's changes after a turn; made once for all who ask with the same turn."""
-        turn = self.node.registry.turn
+        turn = self.node.registry.version
         if self._roll_bytes.get("turn") != turn:
             self._roll_bytes = {"turn": turn}
         have = self._roll_bytes.get(after)
         if have is None:
-            have = self._roll_bytes[after] = orjson.Fragment(encode_kept(self.node.registry.since(after)))
+            have = self._roll_bytes[after] = orjson.Fragment(encode_kept(self.node.registry.changes_since(after)))
         return have
--- a/archhatch/control/handlers.py
+++ b/archhatch/control/handlers.py
@@ -84,7 +84,7 @@
             node.peers.merge_live_totals(doc["id"], doc["live"])
             return
         node.peers.merge_live_requests(doc["id"], doc["live"])
-        word = {"id": node.id, "live": node.live.own(node.clock.now()), "spread": False}
+        word = {"id": node.id, "live": node.live.edge_totals(node.clock.now()), "spread": False}
         for card in list(node.cores.cards.values()):
             node.task_group.spawn("live", node.call, card["addr"], "live", word)
 
--- a/archhatch/control/node.py
+++ b/archhatch/control/node.py
@@ -150,7 +150,7 @@
 
     def alive(self, node_id: str) -> bool:
         """Whether a control node was heard lately."""
-        return node_id == self.id or self.cores.silent(node_id, self.clock.now()) < self.quiet_s
+        return node_id == self.id or self.cores.silence_s(node_id, self.clock.now()) < self.quiet_s
 
     def available(self, node_id: str) -> bool:
         """Whether a control node is up and about to stay."""
@@ -176,8 +176,8 @@
         now, base = self.clock.now(), self.registers.group(PLAN)
         voters = base["voters"] if base else {}
         silent = {
-            r: now - self.registry.heard[r]
-            for r, e in self.registry.all.items()
+            r: now - self.registry.last_heard[r]
+            for r, e in self.registry.replicas.items()
             if e.get("silent") and e["state"] != "gone"
         }
         return {
--- a/archhatch/control/peers.py
+++ b/archhatch/control/peers.py
@@ -71,16 +71,16 @@
             doc["others"] = others
         if node.regions.served:
             doc["served"] = node.regions.words()
-        doc["live"] = node.live.own(now)
-        doc["stores"] = node.stores.since(told.stores, now)
-        doc["roll"], doc["turn"] = node.registry.beats_since(told.heartbeats, now), node.registry.beat_turn
+        doc["live"] = node.live.edge_totals(now)
+        doc["stores"] = node.stores.changes_since(told.stores, now)
+        doc["roll"], doc["turn"] = node.registry.heartbeats_since(told.heartbeats, now), node.registry.heartbeat_version
         return doc
 
     def _others(self) -> list:
         """Cards of the control nodes that were heard not too long ago."""
         node, now = self.node, self.node.clock.now()
         heard = node.quiet_s * FORGOTTEN
-        return [card for i, card in node.cores.cards.items() if node.cores.silent(i, now) < heard]
+        return [card for i, card in node.cores.cards.items() if node.cores.silence_s(i, now) < heard]
 
     def _names(self, cards: list) -> tuple:
         return tuple(sorted(card["id"] for card in cards))
@@ -107,7 +107,7 @@
         for other in doc.get("others", []) + [doc["card"]]:
             if other["id"] != node.id and other["addr"] != node.address:
                 if other["id"] not in node.cores.cards and not self._at(other["addr"]):
-                    node.cores.learn(other)
+                    node.cores.update_card(other)
                 self.watch(other["addr"])
         lack = self.merge_replicas(doc.get("roll") or [])
         lack = self._take_stores(doc.get("stores") or [], now) or lack
@@ -126,7 +126,7 @@
             node.agreed_time.forget(old)
             node.contact.forget(old)
             self.leaving.discard(old)
-        node.cores.hear(card, now)
+        node.cores.record_contact(card, now)
         if fresh:
             node.log.info("control node {} at {} is known", card["id"], card["addr"])
             node.state_board.notify("news")
@@ -155,17 +155,17 @@
 
     def merge_live_requests(self, edge: str, live: dict) -> None:
         """Live requests that an edge told of here, by service."""
-        self._fold_live(self.node.live.put, edge, live)
+        self._fold_live(self.node.live.record_edge, edge, live)
 
     def merge_live_totals(self, node_id: str, live: dict) -> None:
         """Live requests that another control node was told of, by service."""
-        self._fold_live(self.node.live.put_sum, node_id, live)
+        self._fold_live(self.node.live.record_node, node_id, live)
 
     def _fold_live(self, put, teller: str, live: dict) -> None:
         node, now = self.node, self.node.clock.now()
-        before = set(node.live.busy(now))
+        before = set(node.live.totals(now))
         put(teller, live, now)
-        if set(node.live.busy(now)) != before:
+        if set(node.live.totals(now)) != before:
             node.state_board.notify("news")
 
     def _take_stores(self, sightings: list, now: float) -> bool:
@@ -173,25 +173,25 @@
         stores, lack = self.node.stores, False
         for word, age in sightings:
             if isinstance(word, dict):
-                stores.hear(word, now - age)
+                stores.record_contact(word, now - age)
             else:
-                lack = not stores.sight(word, now - age) or lack
+                lack = not stores.record_sighting(word, now - age) or lack
         return lack
 
     def merge_replicas(self, entries: list) -> bool:
         """Fold what another control node told of replicas; True if something in short form is not known here."""
         node, now = self.node, self.node.clock.now()
-        turn, lack = node.registry.turn, False
+        turn, lack = node.registry.version, False
         for short in entries:
-            entry = node.registry.whole(short)
+            entry = node.registry.expand(short)
             if entry is None:
                 lack = True
                 continue
             entry = dict(entry)
             age = entry.pop("age", 0.0)
             entry.pop("silent", None)
-            node.registry.beat(entry, now - age)
-        if node.registry.turn != turn:
+            node.registry.record_heartbeat(entry, now - age)
+        if node.registry.version != turn:
             node.state_board.notify("news")
         return lack
 
@@ -218,13 +218,13 @@
     def _note_time(self, out: dict, sent_at: float) -> None:
         """Fold the time of day that an answer shows: of the middle between its question and its arrival."""
         now = self.node.clock.now()
-        self.node.agreed_time.note(self.node.id, self.node.clock.wall_time(), now)
+        self.node.agreed_time.record_clock(self.node.id, self.node.clock.wall_time(), now)
         if "wall" in out:
-            self.node.agreed_time.note(out["card"]["id"], out["wall"], (sent_at + now) / 2)
+            self.node.agreed_time.record_clock(out["card"]["id"], out["wall"], (sent_at + now) / 2)
 
     async def _ping(self, address: str) -> bool:
         node = self.node
-        turn, stores, sent_at = node.registry.beat_turn, node.stores.turn, node.clock.now()
+        turn, stores, sent_at = node.registry.heartbeat_version, node.stores.version, node.clock.now()
         others = self._names(self._others())
         out = await node.call(address, "core.ping", self.ping_document(address))
         node.check_serving()  # a loss of contact is seen before the answer hides it, as after a freeze
--- a/archhatch/control/store_membership.py
+++ b/archhatch/control/store_membership.py
@@ -29,7 +29,7 @@
         now, value = node.clock.now(), state["val"]
         members = value.get("stores", {})
         for store_id, card in list(node.stores.cards.items()):
-            heard = node.stores.silent(store_id, now) < node.settings.seconds("ContactMs", HEARD)
+            heard = node.stores.silence_s(store_id, now) < node.settings.seconds("ContactMs", HEARD)
             barred = (
                 store_id in members or store_id in value.get("dropped", {}) or card["name"] in value.get("retired", {})
             )
@@ -41,7 +41,7 @@
     async def _tend_silent(self, members: dict, now: float) -> None:
         node = self.node
         for store_id, member in members.items():
-            heard = max(node.started, node.stores.heard.get(store_id, node.started))
+            heard = max(node.started, node.stores.last_heard.get(store_id, node.started))
             replaced = any(
                 other["no"] > member["no"] and self._joined.get(other_id, now) > heard
                 for other_id, other in members.items()
@@ -63,6 +63,6 @@
         stay = {
             sid: member
             for sid, member in active(members).items()
-            if sid != gone and node.stores.silent(sid, now) < node.settings.seconds("ContactMs", HEARD)
+            if sid != gone and node.stores.silence_s(sid, now) < node.settings.seconds("ContactMs", HEARD)
         }
         return node.quorum.spares(stay)
--- a/archhatch/data_plane/edge.py
+++ b/archhatch/data_plane/edge.py
@@ -60,7 +60,7 @@
         self.load_balancer = LoadBalancer(
             settings.zone, settings.node_name, rest_s=settings.seconds("ContactMs", 0.3), widen=0.5
         )
-        self.placement, self.config_watcher.proved = self.load_balancer.placement, self.load_balancer.proved
+        self.placement, self.config_watcher.successes_by_zone = self.load_balancer.placement, self.load_balancer.proved
         self.admission = Admission(
             settings, self.config_watcher, self.clock, self.counters, settings.seconds("ContactMs", 0.25)
         )
@@ -132,9 +132,9 @@
         while True:
             turn = await self.state_board.wait_for_change("live", turn)
             busy = {s: n for s, n in self.live.now.items() if n}
-            if set(busy) <= set(self.config_watcher.busy):
+            if set(busy) <= set(self.config_watcher.live_totals):
                 continue  # all know already
-            for address in self.config_watcher.candidates()[:2]:
+            for address in self.config_watcher.source_addresses()[:2]:
                 try:
                     await self.config_watcher.call(address, "live", {"id": self.settings.node_name, "live": busy}, 0.3)
                     break
@@ -144,7 +144,7 @@
     async def _roll_loop(self) -> None:
         turn = 0
         while True:
-            self.load_balancer.fold(self.config_watcher.take_roll())
+            self.load_balancer.fold(self.config_watcher.take_changed_replicas())
             turn = await self.state_board.wait_for_change("roll", turn)
 
     async def _readiness(self, request, body):
--- a/archhatch/evacuation/controller.py
+++ b/archhatch/evacuation/controller.py
@@ -65,7 +65,7 @@
             return ["there is no configuration yet"]
         needs = self._needs(rules)
         members = active(value.get("stores", {}))
-        return lacks(needs, plan, self.placement.region_of, list(node.registry.all.values()), members, node.quorum)
+        return lacks(needs, plan, self.placement.region_of, list(node.registry.replicas.values()), members, node.quorum)
 
     # -- driving
 
@@ -182,7 +182,7 @@
         if await self._lacks_room(name, record):
             return
         needs = self._needs(record["rules"])
-        replicas = list(self.node.registry.all.values())
+        replicas = list(self.node.registry.replicas.values())
         cold = unloaded(needs, record["plan"]["Target"], self.placement.region_of, replicas, self._named())
         if not cold and not self._missing(record, "copied"):
             await self._step(name, record, EvacuationState.MOVING, "copies and weights are in the target")
--- a/archhatch/membership/__init__.py
+++ b/archhatch/membership/__init__.py
@@ -3,7 +3,7 @@
 from .config_watcher import ConfigWatcher
 from .live_requests import LiveRequests
 from .peer_set import PeerSet
-from .rendezvous import pick, rank
+from .rendezvous import choose, rank
 from .rendezvous import shard_of
 from .replica_registry import ReplicaRegistry
 
@@ -12,7 +12,7 @@
     "LiveRequests",
     "PeerSet",
     "ReplicaRegistry",
-    "pick",
+    "choose",
     "rank",
     "shard_of",
 ]
--- a/archhatch/membership/agreed_time.py
+++ b/archhatch/membership/agreed_time.py
@@ -12,14 +12,16 @@
 class AgreedTime:
     """Folds what other nodes' clocks show; now() is in seconds since the start of 1970.
 
-    >>> t = AgreedTime(); t.note("a", 1000.0, 10.0); t.note("b", 1000.2, 10.0); t.note("c", 5000.0, 10.0); t.at(20.0)
+    >>> time = AgreedTime()
+    >>> time.record_clock("a", 1000.0, 10.0); time.record_clock("b", 1000.2, 10.0); time.record_clock("c", 5000.0, 10.0)
+    >>> time.at(20.0)
     1010.2
     """
 
     def __init__(self):
         self._ahead: dict[str, float] = {}
 
-    def note(self, node: str, wall: float, steady: float) -> None:
+    def record_clock(self, node: str, wall: float, steady: float) -> None:
         """A node's time of day was `wall` when this node's steady clock was at `steady`."""
         self._ahead[node] = wall - steady
 
@@ -28,7 +30,7 @@
         self._ahead.pop(node, None)
 
     @property
-    def known(self) -> bool:
+    def is_known(self) -> bool:
         """Whether any node's clock was heard."""
         return bool(self._ahead)
 
--- a/archhatch/membership/config_watcher.py
+++ b/archhatch/membership/config_watcher.py
@@ -27,10 +27,10 @@
         self.port = settings.internal_ports[0]
         self.addrs = [f"{s.rsplit(':', 1)[0]}:{self.port}" for s in settings.seed_peers]
         random.shuffle(self.addrs)
-        self.stamps: dict[str, int] = {}
+        self.versions: dict[str, int] = {}
         self.shards: dict[str, dict] = {}
-        self.registry: dict[str, dict] = {}
-        self.incarnation, self.turn = "", 0
+        self.replicas: dict[str, dict] = {}
+        self.incarnation, self.registry_version = "", 0
         self.fresh_at = float("-inf")
         self.confirmed_at = float("-inf")  # when the last question was asked whose answer a serving node gave
         self._time_ahead: deque[float] = deque(maxlen=TIMES_KEPT)
@@ -42,8 +42,10 @@
         self.mine: list = []
         self.plan = None
         self.live = None
-        self.busy: dict = {}
-        self.proved = None  # gives the answers that came from replicas, by zone, while a placement policy is set
+        self.live_totals: dict = {}
+        self.successes_by_zone = (
+            None  # gives the answers that came from replicas, by zone, while a placement policy is set
+        )
 
     def agreed_time(self, steady: float) -> float | None:
         """The time of day, in seconds since 1970, at a point of this node's steady clock; None before the first news.
@@ -52,7 +54,7 @@
         """
         return steady + max(self._time_ahead) if self._time_ahead else None
 
-    def candidates(self) -> list:
+    def source_addresses(self) -> list:
         """The addresses of control nodes, the present source first."""
         return self.addrs[self.at :] + self.addrs[: self.at]
 
@@ -68,7 +70,7 @@
     async def ask_once(self) -> bool:
         """Ask the present source and take up its answer; False if it gave none."""
         address, asked = self.addrs[self.at % len(self.addrs)], self.clock.now()
-        hurry = self._failed or self.sources.hurried(self.stamps, asked)
+        hurry = self._failed or self.sources.hurried(self.versions, asked)
         hold = self.hold_s * (HURRY if hurry else 1.0)
         told = dict(self.sources.told)
         try:
@@ -80,26 +82,26 @@
         if self.clock.now() - asked > hold + self.grace_s:
             self.counters.add("news.asked_anew")  # this node stood still: the answer waited for it, and is old
             return True
-        if self.take_up(address, doc, told) is Verdict.GOOD:
+        if self.accept_answer(address, doc, told) is Verdict.GOOD:
             self.confirmed_at = max(self.confirmed_at, asked)
         return True
 
     def _question(self, hold: float, now: float) -> dict:
-        served = self.proved(now) if self.proved is not None else []
+        served = self.successes_by_zone(now) if self.successes_by_zone is not None else []
         doc = {
             "live": self.live.tally() if self.live is not None else {},
-            "busy": sorted(self.busy),
+            "busy": sorted(self.live_totals),
             "who": self.card,
-            "stamps": self.stamps,
+            "stamps": self.versions,
             "life": self.incarnation,
-            "turn": self.turn,
+            "turn": self.registry_version,
             "hold": hold,
         }
         if served:
             doc["served"] = served
         return doc
 
-    def take_up(self, address: str, doc: dict, told: dict) -> Verdict:
+    def accept_answer(self, address: str, doc: dict, told: dict) -> Verdict:
         """Fold an answer of a source, unless it is one of an ended life; leave the source if it is behind. What the
         answer shows of its source.
 
@@ -108,8 +110,8 @@
         verdict = Verdict.OLD_LIFE
         if self.sources.heed(address, doc):
             newest = {**{shard: got["stamp"] for shard, got in doc["parts"].items()}, **(doc.get("newest") or {})}
-            self.fold(doc)
-            verdict = self.sources.judge(self.stamps, told, newest)
+            self.apply_answer(doc)
+            verdict = self.sources.judge(self.versions, told, newest)
         if verdict is not Verdict.GOOD:
             self.counters.add(f"news.{verdict.value}")
         after = self.sources.next_after(verdict, self.addrs, address, self.clock.now())
@@ -126,12 +128,12 @@
             self.sources.forget(address)
         return out
 
-    def fold(self, doc: dict) -> None:
+    def apply_answer(self, doc: dict) -> None:
         """Take up one answer."""
         self.fresh_at = self.clock.now()
         if doc.get("time") is not None:
             self._time_ahead.append(doc["time"] - self.fresh_at)
-        self.incarnation, self.turn = doc["life"], doc["turn"]
+        self.incarnation, self.registry_version = doc["life"], doc["turn"]
         here = self.addrs[self.at % len(self.addrs)]
         known = [a for a in doc["cores"]]
         if known:
@@ -140,12 +142,12 @@
         changed = False
         for shard, got in doc["parts"].items():
             changed = self._fold_part(shard, got) or changed
-        if doc["busy"] != self.busy:
-            self.busy = doc["busy"]
+        if doc["busy"] != self.live_totals:
+            self.live_totals = doc["busy"]
             self.state_board.notify("work")
         fresh = []
         for entry in doc["roll"]:
-            old = self.registry.get(entry["id"])
+            old = self.replicas.get(entry["id"])
             if old is not None and (
                 old["state"] == "gone"
                 or (old["state"] == "draining" and entry["state"] == "up")
@@ -153,7 +155,7 @@
             ):
                 self.counters.add("news.late_entry")
                 continue
-            self.registry[entry["id"]] = entry
+            self.replicas[entry["id"]] = entry
             fresh.append(entry)
         if fresh:
             self.mine.extend(fresh)
@@ -163,7 +165,7 @@
 
     def _fold_part(self, shard: str, got: dict) -> bool:
         """Take up a register, whole or as the changes since the version that this node has; whether it is newer."""
-        held = self.stamps.get(shard, 0)
+        held = self.versions.get(shard, 0)
         if got["stamp"] <= held:
             self.counters.add("news.late_part")
             return False
@@ -174,18 +176,18 @@
         else:
             self.counters.add("news.other_base")  # the next question names the version that is held
             return False
-        self.stamps[shard], self.shards[shard] = got["stamp"], value
+        self.versions[shard], self.shards[shard] = got["stamp"], value
         return True
 
-    def take_roll(self) -> list:
+    def take_changed_replicas(self) -> list:
         """Entries that came since the last call."""
         out, self.mine = self.mine, []
         return out
 
-    async def do(self, shard: str, name: str, args: dict, timeout_s: float = 1.5):
+    async def run_command(self, shard: str, name: str, args: dict, timeout_s: float = 1.5):
         """Run a command on a part, through any control node: (code, document)."""
         for _ in range(2):
-            for address in self.candidates():
+            for address in self.source_addresses():
                 try:
                     code, doc, _ = await self.call(
                         address, "do", {"part": shard, "name": name, "args": args}, timeout_s
--- a/archhatch/membership/rendezvous.py
+++ b/archhatch/membership/rendezvous.py
@@ -14,10 +14,10 @@
     return sorted(names, key=lambda n: hashlib.blake2b(f"{key}|{n}".encode(), digest_size=8).digest())
 
 
-def pick(key: str, names, count: int = 1) -> list:
+def choose(key: str, names, count: int = 1) -> list:
     """The count names that suit the key best.
 
-    >>> len(pick("k", ["a", "b", "c"], 2))
+    >>> len(choose("k", ["a", "b", "c"], 2))
     2
     """
     return rank(key, names)[:count]
@@ -29,4 +29,4 @@
     >>> shard_of("svc", ["p0"])
     'p0'
     """
-    return pick(service, shards)[0]
+    return choose(service, shards)[0]
--- a/archhatch/region_policy/region_monitor.py
+++ b/archhatch/region_policy/region_monitor.py
@@ -96,10 +96,10 @@
         """When each service was last heard in each region: beats of replicas that take requests, and answers."""
         out: dict = {}
         registry, region_of = self.core.registry, self.places.region_of
-        for rid, entry in registry.all.items():
+        for rid, entry in registry.replicas.items():
             if entry["state"] == "up":
                 key = (entry["service"], region_of.get(entry["zone"]))
-                out[key] = max(registry.heard[rid], out.get(key, float("-inf")))
+                out[key] = max(registry.last_heard[rid], out.get(key, float("-inf")))
         for (svc, zone), at in self.served.items():
             key = (svc, region_of.get(zone))
             out[key] = max(at, out.get(key, float("-inf")))
--- a/archhatch/rollout_controller/repair.py
+++ b/archhatch/rollout_controller/repair.py
@@ -89,7 +89,7 @@
         ]
         outs = await asyncio.gather(
             *(
-                store.config_watcher.do(
+                store.config_watcher.run_command(
                     "plan",
                     "store.clear",
                     {"id": sid, "run": self.leadership.run, "term": self.leadership.term, "counted": sorted(stay)},
--- a/archhatch/rollout_controller/takeover.py
+++ b/archhatch/rollout_controller/takeover.py
@@ -38,7 +38,9 @@
         """Ask all stores for the run, and take up its open lots; False if it is to be tried again."""
         store, leadership = self.store, self.leadership
         # from here on no older holder's word ends the membership of a store that this gather counts on
-        code, doc = await store.config_watcher.do("plan", "run.begin", {"run": leadership.run, "term": leadership.term})
+        code, doc = await store.config_watcher.run_command(
+            "plan", "run.begin", {"run": leadership.run, "term": leadership.term}
+        )
         if code == 2018:
             raise DeposedError(leadership.run)
         if code != 1000 or store.id not in doc["stores"]:
--- a/archhatch/share_group/leader.py
+++ b/archhatch/share_group/leader.py
@@ -37,7 +37,7 @@
     async def run(self) -> None:
         store, turn = self.store, 0
         while True:
-            self.slots.load_limit.heed(store.config_watcher.busy)
+            self.slots.load_limit.heed(store.config_watcher.live_totals)
             self.sync()
             self.recalls.recall_for_live_requests()
             self.recalls.recall_for_moves()
--- a/archhatch/singleton_roles/group.py
+++ b/archhatch/singleton_roles/group.py
@@ -77,4 +77,4 @@
         refusing = now - self._refusing_since.get(sid, now)
         if sid == self.store.id:
             return refusing
-        return max(refusing, min(self.store.membership.cards.silent(sid, now), now - self.started))
+        return max(refusing, min(self.store.membership.cards.silence_s(sid, now), now - self.started))
--- a/archhatch/singleton_roles/register_host.py
+++ b/archhatch/singleton_roles/register_host.py
@@ -236,7 +236,7 @@
             return
         if self.store.clock.now() - self.keeper.started < self.store.heartbeat_interval_s * SETTLED_BEATS:
             return
-        code, _ = await self.store.config_watcher.do(
+        code, _ = await self.store.config_watcher.run_command(
             "plan", "ledger.group", {"key": namespace, "voters": voters, "stamp": 0}
         )
         self.store.counters.add(f"ledger.found.{code}")
@@ -265,7 +265,7 @@
         if known is None or known["prev"] or published is None or known["voters"] == published["voters"]:
             return
         args = {"key": namespace, "voters": known["voters"], "stamp": known["stamp"]}
-        code, _ = await self.store.config_watcher.do("plan", "ledger.group", args)
+        code, _ = await self.store.config_watcher.run_command("plan", "ledger.group", args)
         self.store.counters.add(f"ledger.group.{code}")
 
     async def _rewrite_if_long(self) -> None:
--- a/archhatch/store/departure.py
+++ b/archhatch/store/departure.py
@@ -70,7 +70,7 @@
         if store.id not in store.members() or not store.quorum.spares(stay):
             return
         wait = store.settings.seconds("ContactMs", ASK)
-        code, _ = await store.config_watcher.do(
+        code, _ = await store.config_watcher.run_command(
             "plan", "store.leave", {"id": store.id, "quorum": store.quorum.doc()}, timeout_s=wait
         )
         self.asked = code == 1000
--- a/archhatch/store/evacuation.py
+++ b/archhatch/store/evacuation.py
@@ -161,7 +161,7 @@
             "copied": copied,
             "drained": drained,
         }
-        code, _ = await self.store.config_watcher.do("plan", "evacuation.report", args)
+        code, _ = await self.store.config_watcher.run_command("plan", "evacuation.report", args)
         self.store.counters.add(f"evacuation.report.{code}")
         if code == 1000:
             self._reported[move.name, leadership.run] = row
--- a/archhatch/store/handlers.py
+++ b/archhatch/store/handlers.py
@@ -53,7 +53,7 @@
     # -- between stores
 
     async def _ping(self, doc, body):
-        self.store.membership.cards.hear(doc["card"], self.store.clock.now())
+        self.store.membership.cards.record_contact(doc["card"], self.store.clock.now())
         return self.store.membership.word().doc()
 
     async def _prepare(self, doc, body):
--- a/archhatch/store/join.py
+++ b/archhatch/store/join.py
@@ -53,7 +53,7 @@
         store = self.store
         read_s = store.settings.seconds("ContactMs", LEASE_READ)
         answers = await asyncio.gather(
-            *(store.config_watcher.do(shard, "tenure.list", {}, timeout_s=read_s) for shard in LEASE_REGISTERS)
+            *(store.config_watcher.run_command(shard, "tenure.list", {}, timeout_s=read_s) for shard in LEASE_REGISTERS)
         )
         if any(code != 1000 for code, _ in answers):
             store.counters.add("join.put_off")
--- a/archhatch/store/lease_watch.py
+++ b/archhatch/store/lease_watch.py
@@ -174,10 +174,10 @@
         """Have the lease granted to a life of a store, if its term is still the one seen; whether it was."""
         store = self.store
         if run not in (store.config_watcher.shards.get("plan") or {}).get("runs", {}):
-            code, _ = await store.config_watcher.do("plan", "run.open", {"run": run})
+            code, _ = await store.config_watcher.run_command("plan", "run.open", {"run": run})
             if code != 1000:
                 return False
-        code, lease = await store.config_watcher.do(
+        code, lease = await store.config_watcher.run_command(
             "of:" + run, "tenure.claim", {"run": run, "holder": holder, "life": incarnation, "seen": seen}
         )
         store.counters.add(f"tenure.claim.{code}")
--- a/archhatch/store/membership.py
+++ b/archhatch/store/membership.py
@@ -36,7 +36,7 @@
         """Whether a store has not been heard for so long that it passes for gone."""
         now = self.store.clock.now()
         met = self.met.setdefault(sid, now)  # one just heard of has not had its time to speak
-        return min(self.cards.silent(sid, now), now - max(self.woke, met)) >= self.store.quiet_s
+        return min(self.cards.silence_s(sid, now), now - max(self.woke, met)) >= self.store.quiet_s
 
     def alive(self, sid: str) -> bool:
         """Whether a store is in touch."""
@@ -153,7 +153,7 @@
         """Take up a store's word, given in answer to a ping that was sent at asked_at."""
         word = HeartbeatStatus.read(doc)
         sid = word.card["id"]
-        self.cards.hear(word.card, self.store.clock.now())
+        self.cards.record_contact(word.card, self.store.clock.now())
         before, self.words[sid] = self.words.get(sid), word
         if before is None or (before.takes, before.departing) != (word.takes, word.departing):
             self.store.state_board.notify("members")
--- a/archhatch/store/node.py
+++ b/archhatch/store/node.py
@@ -102,7 +102,7 @@
         self.config_watcher = ConfigWatcher(
             self.settings, self.card(), self.connections, self.state_board, self.clock, self.counters
         )
-        self.config_watcher.proved = self.load_balancer.proved
+        self.config_watcher.successes_by_zone = self.load_balancer.proved
         self.replicator = Replicator(
             self.id,
             self.record_store,
@@ -247,7 +247,7 @@
     async def _roll_loop(self) -> None:
         turn = 0
         while True:
-            entries = self.config_watcher.take_roll()
+            entries = self.config_watcher.take_changed_replicas()
             self.load_balancer.fold(entries)
             self.engines.fold(entries)
             if entries:
--- a/benchmarks/microbench.py
+++ b/benchmarks/microbench.py
@@ -83,12 +83,12 @@
 def rolls(count):
     registry = ReplicaRegistry()
     for e in entries(count):
-        registry.beat(e, 0.0)
-    turn, beats = registry.turn - 1, registry.beat_turn - 1
+        registry.record_heartbeat(e, 0.0)
+    turn, beats = registry.version - 1, registry.heartbeat_version - 1
     calls = max(20, 50000 // count)
     return {
-        "roll since one change": least(lambda k: registry.since(turn), calls),
-        "beats since one beat": least(lambda k: registry.beats_since(beats, 1.0), calls),
+        "roll since one change": least(lambda k: registry.changes_since(turn), calls),
+        "beats since one beat": least(lambda k: registry.heartbeats_since(beats, 1.0), calls),
     }
 
 
@@ -109,14 +109,14 @@
     core = ControlNode(settings, open_logs("bench", "CRITICAL"))
     core.has_majority_contact = lambda: True
     for e in entries(count):
-        core.registry.beat(e, 0.0)
+        core.registry.record_heartbeat(e, 0.0)
     core.known["plan"] = {
         "stamp": 7,
         "val": {
             "plan": {"RouteTable": [{"Name": f"r{n}", "HostName": "h", "PathPrefix": "/"} for n in range(count // 10)]}
         },
     }
-    turn = core.registry.turn
+    turn = core.registry.version
 
     async def all_ask(shard, after):
         stamps = {} if shard else {"plan": 7}
@@ -162,10 +162,10 @@
 
     def ping(k):
         for e in ents:
-            a.registry.beat({**e, "seq": k + 2}, 0.0)
+            a.registry.record_heartbeat({**e, "seq": k + 2}, 0.0)
         raw = orjson.dumps(a.peers.ping_document("b:1"))
         b.peers.merge_replicas(orjson.loads(raw)["roll"])
-        a.peers.reports["b:1"] = PeerReport("x", a.registry.beat_turn)
+        a.peers.reports["b:1"] = PeerReport("x", a.registry.heartbeat_version)
         return len(raw)
 
     ping(0)
--- a/tests/control/test_control_safety.py
+++ b/tests/control/test_control_safety.py
@@ -164,7 +164,7 @@
         self.clock, self.log, self.quorum = HandClock(100.0), SimpleNamespace(info=lambda *a: None), Quorum(1)
         self.stores = PeerSet()
         for name, seconds in silent.items():
-            self.stores.hear({"id": name, "name": name}, 100.0 - seconds)
+            self.stores.record_contact({"id": name, "name": name}, 100.0 - seconds)
         members = {n: {"name": n, "zone": "z", "state": "active", "no": i} for i, n in enumerate(names)}
         self.registers = SimpleNamespace(owns=lambda shard: True, known={"plan": {"val": {"stores": members}}})
         self.duty = StoreMembershipController(self)
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -82,11 +82,11 @@
     """A feed over registers moved by hand, and readers of it."""
 
     def __init__(self):
-        live = types.SimpleNamespace(busy=lambda now: {})
+        live = types.SimpleNamespace(totals=lambda now: {})
         peers = types.SimpleNamespace(merge_live_requests=lambda edge, live: None)
         registers = types.SimpleNamespace(known={}, chosen={})
         cores = types.SimpleNamespace(cards={})
-        agreed_time = types.SimpleNamespace(known=False)
+        agreed_time = types.SimpleNamespace(is_known=False)
         self.node = types.SimpleNamespace(
             agreed_time=agreed_time,
             clock=HandClock(), registers=registers, live=live, peers=peers, cores=cores, state_board=StateBoard(),
@@ -94,7 +94,7 @@
             regions=types.SimpleNamespace(heed=lambda words: None), leaving=False, check_serving=lambda: True,
             incarnation="L",
             id="core", address="10.0.0.1:7380", counters=Counters(), available=lambda i: True,
-            registry=types.SimpleNamespace(turn=0, since=lambda turn: []),
+            registry=types.SimpleNamespace(version=0, changes_since=lambda turn: []),
         )  # fmt: skip
         self.feed = ConfigFeed(self.node)
 
@@ -108,9 +108,9 @@
         return ConfigWatcher(settings, {"id": "e", "klass": "edge"}, None, StateBoard(), HandClock(), Counters())
 
     async def bring(self, reader):
-        doc = {"live": {}, "busy": [], "who": reader.card, "stamps": reader.stamps, "life": reader.incarnation}
-        raw = await self.feed.answer({**doc, "turn": reader.turn, "hold": 0.0})
-        reader.fold(orjson.loads(raw))
+        doc = {"live": {}, "busy": [], "who": reader.card, "stamps": reader.versions, "life": reader.incarnation}
+        raw = await self.feed.answer({**doc, "turn": reader.registry_version, "hold": 0.0})
+        reader.apply_answer(orjson.loads(raw))
         return raw
 
 
@@ -130,7 +130,7 @@
             value = {"plan": value["plan"], "stores": stores, "runs": {}, "dropped": {}, "retired": {}}
             world.know("plan", version, value)
             assert len(await world.bring(early)) < len(whole) / 10
-            assert early.shards["plan"]["stores"] == stores and early.stamps["plan"] == version
+            assert early.shards["plan"]["stores"] == stores and early.versions["plan"] == version
         await world.bring(late)
         assert late.shards == early.shards
         assert early.counters.counts.get("news.other_base", 0) == 0 and world.node.counters.counts["feed.changes"] == 10
@@ -146,7 +146,7 @@
             world.know("p0", version, {"named": {"m": version}})
             reader = world.reader()
             if held:
-                reader.stamps["p0"], reader.shards["p0"] = held, {"named": {"other": 1}}
+                reader.versions["p0"], reader.shards["p0"] = held, {"named": {"other": 1}}
             await world.bring(reader)
         assert reader.shards.get("p0") == ({"named": {"m": 6}} if held < 6 else {"named": {"other": 1}})
 
@@ -155,12 +155,12 @@
 
 def test_changes_that_stand_on_another_version_are_not_folded():
     reader = FeedWorld().reader()
-    reader.stamps["p0"], reader.shards["p0"] = 4, {"a": 1}
+    reader.versions["p0"], reader.shards["p0"] = 4, {"a": 1}
     change = {"stamp": 6, "base": 5, "changes": [{"in": {"a": {"is": 2}}, "drop": []}]}
     doc = {"life": "L", "turn": 0, "cores": [], "busy": {}, "roll": [], "parts": {"p0": change}}
-    reader.fold(doc)
-    assert (reader.stamps["p0"], reader.shards["p0"]) == (4, {"a": 1}) and reader.counters.counts[
+    reader.apply_answer(doc)
+    assert (reader.versions["p0"], reader.shards["p0"]) == (4, {"a": 1}) and reader.counters.counts[
         "news.other_base"
     ] == 1
-    reader.fold({**doc, "parts": {"p0": {**change, "base": 4}}})
-    assert (reader.stamps["p0"], reader.shards["p0"]) == (6, {"a": 2})
+    reader.apply_answer({**doc, "parts": {"p0": {**change, "base": 4}}})
+    assert (reader.versions["p0"], reader.shards["p0"]) == (6, {"a": 2})
--- a/tests/diagnostics/test_doctor.py
+++ b/tests/diagnostics/test_doctor.py
@@ -78,7 +78,7 @@
             await w.kill(w.cores.pop(2))
             core = w.cores[1]
             await w.until(core.state_board, "news", lambda: not core.has_majority_contact())
-            core.registry.beat({"id": "i-1", "seq": 1, "state": "up"}, core.clock.now() - 60)
+            core.registry.record_heartbeat({"id": "i-1", "seq": 1, "state": "up"}, core.clock.now() - 60)
             core.registry.sweep(core.clock.now(), 3.0)
             found = await Doctor(path, timeout_s=0.5).run()
             assert sorted({f.code for f in found} - {6010}) == [6004, 6005, 6009]
--- a/tests/jobs/test_quorum.py
+++ b/tests/jobs/test_quorum.py
@@ -118,7 +118,7 @@
     async def _prepare(self, doc, body):
         return await self.record_store.prepare(doc["run"], doc["term"])
 
-    async def do(self, shard, name, args):
+    async def run_command(self, shard, name, args):
         code, doc, _ = commands.run(self.site.value, name, args)
         return code, orjson.loads(orjson.dumps(doc))
 
--- a/tests/membership/test_config_watcher.py
+++ b/tests/membership/test_config_watcher.py
@@ -32,8 +32,8 @@
 def test_parts_only_rise(stamps, held):
     r = reader()
     for n, s in enumerate(stamps):
-        r.fold(feed_answer({"plan": s}, incarnation=f"core-{n}"))
-    assert r.stamps == {"plan": held} and r.shards["plan"] == {"n": held}
+        r.apply_answer(feed_answer({"plan": s}, incarnation=f"core-{n}"))
+    assert r.versions == {"plan": held} and r.shards["plan"] == {"n": held}
     assert r.counters.counts["news.late_part"] == sum(s <= max(stamps[:n], default=0) for n, s in enumerate(stamps))
 
 
@@ -55,8 +55,8 @@
 def test_replicas_never_come_back_from_leaving(ents, state, seq, late):
     r = reader()
     for n, e in enumerate(ents):
-        r.fold(feed_answer(registry=[e], incarnation=f"core-{n}"))
-    assert (r.registry["r"]["state"], r.registry["r"]["seq"]) == (state, seq) and r.counters.counts[
+        r.apply_answer(feed_answer(registry=[e], incarnation=f"core-{n}"))
+    assert (r.replicas["r"]["state"], r.replicas["r"]["seq"]) == (state, seq) and r.counters.counts[
         "news.late_entry"
     ] == late
 
@@ -64,16 +64,16 @@
 def test_addresses_are_learnt_and_the_one_that_answers_is_kept():
     r = reader()
     r.addrs, r.at = ["1.1.1.1:7", "1.1.1.2:7"], 1
-    r.fold(feed_answer(cores=["1.1.1.3:7", "1.1.1.1:7"]))
+    r.apply_answer(feed_answer(cores=["1.1.1.3:7", "1.1.1.1:7"]))
     assert set(r.addrs) == {"1.1.1.3:7", "1.1.1.1:7", "1.1.1.2:7"} and r.addrs[r.at] == "1.1.1.2:7"
-    r.fold(feed_answer(cores=[]))
+    r.apply_answer(feed_answer(cores=[]))
     assert len(r.addrs) == 3
 
 
 def test_entries_are_taken_once():
     r = reader()
-    r.fold(feed_answer(registry=[entry("up", 1)]))
-    assert [e["seq"] for e in r.take_roll()] == [1] and r.take_roll() == []
+    r.apply_answer(feed_answer(registry=[entry("up", 1)]))
+    assert [e["seq"] for e in r.take_changed_replicas()] == [1] and r.take_changed_replicas() == []
 
 
 class Nodes:
@@ -127,7 +127,7 @@
         for _ in asked:
             if not await r.ask_once():
                 r.at += 1
-        assert "".join(nodes.asked) == asked and r.candidates()[0] == stays and r.stamps["plan"] == version
+        assert "".join(nodes.asked) == asked and r.source_addresses()[0] == stays and r.versions["plan"] == version
 
     run(go())
 
@@ -139,7 +139,7 @@
         r.at = 1
         for _ in range(3):
             await r.ask_once()
-        assert nodes.asked == ["a", "b", "c", "c"] and r.stamps["plan"] == 6 and r.counters.counts["news.behind"] == 1
+        assert nodes.asked == ["a", "b", "c", "c"] and r.versions["plan"] == 6 and r.counters.counts["news.behind"] == 1
 
     run(go())
 
@@ -156,10 +156,10 @@
             moves.append(r.at != before)
         assert 5 <= sum(moves) <= 14
         nodes.heard = {"a": 7, "b": 7}
-        nodes.held["b" if r.candidates()[0] == "a" else "a"] = 7
+        nodes.held["b" if r.source_addresses()[0] == "a" else "a"] = 7
         for _ in range(3):
             await r.ask_once()
-        assert r.stamps["plan"] == 7
+        assert r.versions["plan"] == 7
 
     run(go())
 
@@ -171,11 +171,11 @@
         r.hold_s, nodes.takes = 1.0, takes
         assert (
             await r.ask_once()
-            and ("plan" in r.stamps) is folded
+            and ("plan" in r.versions) is folded
             and r.counters.counts["news.asked_anew"] == (not folded)
         )
         nodes.takes = 0.0
-        assert await r.ask_once() and r.stamps["plan"] == 5 and nodes.asked == ["a", "a"]
+        assert await r.ask_once() and r.versions["plan"] == 5 and nodes.asked == ["a", "a"]
 
     run(go())
 
@@ -188,10 +188,10 @@
             r.at = 0
             await r.ask_once()
         assert (
-            r.stamps["plan"] == 6
+            r.versions["plan"] == 6
             and r.incarnation == "l2"
             and r.counters.counts["news.old_life"] == 1
-            and r.candidates()[0] == "b"
+            and r.source_addresses()[0] == "b"
         )
 
     run(go())
@@ -205,6 +205,8 @@
         nodes.ids["a"] = "n3"
         assert not await r.ask_once() and r.counters.counts["news.other_node"] == 1  # it asks elsewhere
         assert await r.ask_once() and r.sources.node("a") == "n3"
-        assert await r.do("plan", "x", {}) == (2008, "dropped") and nodes.asked[-1] == "a"  # the command's own word
+        assert (
+            await r.run_command("plan", "x", {}) == (2008, "dropped") and nodes.asked[-1] == "a"
+        )  # the command's own word
 
     run(go())
--- a/tests/region_policy/test_regions_system.py
+++ b/tests/region_policy/test_regions_system.py
@@ -393,7 +393,9 @@
                     w.edge.state_board,
                     "nothing",
                     lambda: all(
-                        c.clock.now() - c.registry.heard[r.iid] > 1.5 * quiet_s for c in w.cores.values() for r in home
+                        c.clock.now() - c.registry.last_heard[r.iid] > 1.5 * quiet_s
+                        for c in w.cores.values()
+                        for r in home
                     ),
                 ),
             )
--- a/tests/region_policy/test_watch.py
+++ b/tests/region_policy/test_watch.py
@@ -203,7 +203,9 @@
             self.clock.at += 0.25
             for z in zones:
                 self.seq += 1
-                self.registry.beat({"id": z, "service": "q", "zone": z, "state": state, "seq": self.seq}, self.clock.at)
+                self.registry.record_heartbeat(
+                    {"id": z, "service": "q", "zone": z, "state": state, "seq": self.seq}, self.clock.at
+                )
             self.duty.heed([["q", z, 0.0] for z in words])
             await self.duty.tend(self.value)
         return self.done
--- a/tests/rollout_controller/test_leadership_term.py
+++ b/tests/rollout_controller/test_leadership_term.py
@@ -50,7 +50,7 @@
         self.replicator = FakeCopier(self)
         self.config_watcher, self.silent, self.proof = self, set(), True
 
-    async def do(self, shard, name, args):
+    async def run_command(self, shard, name, args):
         return 1000, {"stores": self.members(), "runs": {}}
 
     def members(self):
--- a/tests/rollout_controller/test_load_limit.py
+++ b/tests/rollout_controller/test_load_limit.py
@@ -42,11 +42,11 @@
 
 
 @pytest.mark.parametrize("words, now, busy", WORDS)
-def test_livebook(words, now, busy):
-    wal = LiveRequests(2.0)
+def test_live_requests_are_summed(words, now, busy):
+    live_requests = LiveRequests(2.0)
     for word in words:
-        wal.put(*word)
-    assert wal.busy(now) == busy
+        live_requests.record_edge(*word)
+    assert live_requests.totals(now) == busy
 
 
 def test_live_tells_the_first_after_a_lull_at_once(clock):
@@ -134,8 +134,8 @@
 
 @pytest.mark.parametrize("words, busy", SUMS)
 def test_what_other_control_nodes_sum_up(words, busy):
-    wal = LiveRequests(2.0)
-    wal.put("edge", {"s": 1}, 1.0)
+    live_requests = LiveRequests(2.0)
+    live_requests.record_edge("edge", {"s": 1}, 1.0)
     for word in words:
-        wal.put_sum(*word)
-    assert wal.busy(2.5) == busy and wal.own(2.5) == {"s": 1}
+        live_requests.record_node(*word)
+    assert live_requests.totals(2.5) == busy and live_requests.edge_totals(2.5) == {"s": 1}
--- a/tests/singleton_roles/test_singleton_roles_system.py
+++ b/tests/singleton_roles/test_singleton_roles_system.py
@@ -91,7 +91,7 @@
         try:
             assert (await w.ask("POST", "/q/1", b"x", heads={KEY: "k1"}))[0] == 200
             w.edge.config_watcher.confirmed_at -= 3600.0
-            w.edge.config_watcher.take_up = lambda *a: None  # nothing is confirmed any more
+            w.edge.config_watcher.accept_answer = lambda *a: None  # nothing is confirmed any more
             for heads in ({KEY: "k1"}, {KEY: "nobody's"}):
                 status, _, got = await w.ask("POST", "/q/2", b"x", heads=heads)
                 assert status == 503 and "Retry-After" in got
--- a/tests/store/test_lease.py
+++ b/tests/store/test_lease.py
@@ -399,7 +399,7 @@
         dead = first.leaderships["s"].term
         site.value["stores"][first.id].update(state="leaving", retire=True)
         new, _ = await site.until_held(but=first)
-        out = await first.do("plan", "store.clear", {"id": first.id, "run": "s", "term": dead})
+        out = await first.run_command("plan", "store.clear", {"id": first.id, "run": "s", "term": dead})
         assert out[0] == 2018 and first.id in site.value["stores"]
         await new.leaderships["s"].mend()
         assert first.id not in site.value["stores"] and new.place in Site.holders(site, "l")
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -404,8 +404,11 @@
             assert await w.hand_in("lot1", batch_job()) == 202
             rows = await w.read_all("lot1")
             edge = w.edge
-            fold, edge.config_watcher.fold = edge.config_watcher.fold, lambda doc: None  # what it knows stands still
-            stamps = dict(edge.config_watcher.stamps)
+            fold, edge.config_watcher.apply_answer = (
+                edge.config_watcher.apply_answer,
+                lambda doc: None,
+            )  # what it knows stands still
+            stamps = dict(edge.config_watcher.versions)
             # meanwhile: another holder on another disk, a replica that ended, an address that serves another life
             i = next(i for i, s in w.stores.items() if s is holder(w))
             await lose_disk(w, i)
@@ -414,7 +417,7 @@
             assert (await w.call("DELETE", f"/api/instances/{w.replicas[2].iid}"))[0] == 200
             w.replicas[0].iid = "i-somebody-else"
             await w.until(edge.state_board, "nothing", lambda: holder(w) is not None)
-            assert edge.config_watcher.stamps == stamps
+            assert edge.config_watcher.versions == stamps
             for _ in range(3):
                 status, body, _ = await w.ask("GET", "/api/lots/lot1?StartAfter=0")
                 assert status == 503 or (status == 200 and orjson.loads(body)["ResultList"] == rows)
@@ -425,7 +428,7 @@
             edge.forward.proxies = proxies
             # the store that it may ask knows who is there
             assert (await w.ask("POST", "/q/x", b"b"))[:2] == (200, b"answer to b") and len(new.seen) == 1
-            edge.config_watcher.fold = fold
+            edge.config_watcher.apply_answer = fold
             await w.until(edge.state_board, "roll", lambda: new.iid in edge.load_balancer.all)
             assert (await w.ask("POST", "/q/x", b"b"))[:2] == (200, b"answer to b")
             assert await w.read_all("lot1") == rows
--- a/tests/upstream/test_subset.py
+++ b/tests/upstream/test_subset.py
@@ -254,7 +254,7 @@
     a, b = core(1), core(2)
     for step, (seq, change) in enumerate([(1, {}), (2, {}), (3, {"models": {"m": 2}}), (4, {})]):
         for e in ents(3):
-            a.registry.beat(
+            a.registry.record_heartbeat(
                 {
                     **e,
                     "seq": seq,
@@ -266,8 +266,8 @@
         doc = orjson.loads(orjson.dumps(a.peers.ping_document(b.address)))
         assert ["state" in e for e in doc["roll"]] == [[True] * 3, [False] * 3, [False, True, False], [False] * 3][step]
         assert b.peers.merge_ping(doc) is False
-        a.peers.reports[b.address] = PeerReport(b.incarnation, a.registry.beat_turn)
-        assert b.registry.all == a.registry.all
+        a.peers.reports[b.address] = PeerReport(b.incarnation, a.registry.heartbeat_version)
+        assert b.registry.replicas == a.registry.replicas
     assert a.peers.ping_document(b.address)["roll"] == []
 
 
@@ -275,9 +275,9 @@
 def test_one_that_forgot_says_so(known, lack):
     b = core()
     if known:
-        b.registry.beat({**ents(1)[0], "seq": 1}, 0.0)
+        b.registry.record_heartbeat({**ents(1)[0], "seq": 1}, 0.0)
     assert b.peers.merge_replicas([{"id": "i0", "seq": 2, "age": 0.5}]) is lack
-    assert b.registry.all.get("i0", {}).get("seq") == (2 if known else None)
+    assert b.registry.replicas.get("i0", {}).get("seq") == (2 if known else None)
 
 
 @pytest.mark.parametrize(
@@ -292,7 +292,7 @@
     async def go():
         a = core()
         for e in ents(3):
-            a.registry.beat({**e, "seq": 1}, 0.0)
+            a.registry.record_heartbeat({**e, "seq": 1}, 0.0)
         a.peers.reports["b:1"] = PeerReport("x", 2)
         a.peers.merge_ping, a.check_serving = lambda out: False, lambda: True
         a.heartbeat_interval_s = 30.0  # one round only: its pause outlasts the test
@@ -316,19 +316,19 @@
 def test_short_beats_keep_the_order_of_turns():
     registry = ReplicaRegistry()
     for e in ents(3):
-        registry.beat({**e, "seq": 1}, 0.0)
-    registry.beat({**ents(3)[0], "seq": 2}, 0.0)
-    assert [e["id"] for e in registry.beats_since(2, 0.0)] == ["i2", "i0"]
-    assert [("state" in e) for e in registry.beats_since(2, 0.0)] == [True, False]
-    registry.beat({**ents(3)[1], "seq": 2, "zone": "other"}, 0.0)
-    assert [e["id"] for e in registry.since(2)] == ["i2", "i1"]
+        registry.record_heartbeat({**e, "seq": 1}, 0.0)
+    registry.record_heartbeat({**ents(3)[0], "seq": 2}, 0.0)
+    assert [e["id"] for e in registry.heartbeats_since(2, 0.0)] == ["i2", "i0"]
+    assert [("state" in e) for e in registry.heartbeats_since(2, 0.0)] == [True, False]
+    registry.record_heartbeat({**ents(3)[1], "seq": 2, "zone": "other"}, 0.0)
+    assert [e["id"] for e in registry.changes_since(2)] == ["i2", "i1"]
 
 
 def test_news_of_one_turn_is_made_once_for_all_askers(run):
     async def go():
         c = core()
         for e in ents(3):
-            c.registry.beat({**e, "seq": 1}, 0.0)
+            c.registry.record_heartbeat({**e, "seq": 1}, 0.0)
         c.known["plan"] = {"stamp": 4, "voters": {}, "prev": None, "val": {"plan": {"Revision": 9}}}
         ask = {
             "who": {"id": "e", "klass": "edge"},
@@ -343,7 +343,7 @@
         assert [e["id"] for e in two["roll"]] == ["i2"] and one["parts"]["plan"]["val"]["plan"] == {"Revision": 9}
         made = c.feed.registry(0), c.feed.shard("plan", None)
         assert made == (c.feed.registry(0), c.feed.shard("plan", None)) and made[0] is c.feed.registry(0)
-        c.registry.beat({**ents(3)[2], "state": "draining", "seq": 2}, 0.0)
+        c.registry.record_heartbeat({**ents(3)[2], "state": "draining", "seq": 2}, 0.0)
         c.known["plan"] = {"stamp": 5, "voters": {}, "prev": None, "val": {"plan": {"Revision": 10}}}
         last = orjson.loads(await c.feed.answer({**ask, "turn": 3}))
         assert [e["state"] for e in last["roll"]] == ["draining"] and last["parts"]["plan"]["stamp"] == 5
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -122,5 +122,5 @@
 def test_clocks_that_jump_do_not_move_the_agreed_time(jumped, by):
     time = AgreedTime()
     for n in range(5):
-        time.note(f"n{n}", 1000.0 + n * 0.01 + (by if n < jumped else 0.0), 10.0)
+        time.record_clock(f"n{n}", 1000.0 + n * 0.01 + (by if n < jumped else 0.0), 10.0)
     assert abs(time.at(20.0) - 1010.02) < 0.05
