--- a/archhatch/runtime/__init__.py
+++ b/archhatch/runtime/__init__.py
@@ -1,4 +1,4 @@
-"""What every process stands on: settings, logs, counters, the state board and background tasks."""
+"""What every process is built on: settings, logs, counters, the state board and background tasks."""
 
 from .clock import Clock
 from .counters import Counters
--- a/archhatch/runtime/clock.py
+++ b/archhatch/runtime/clock.py
@@ -1,13 +1,13 @@
-"""Time by the clocks of the machine, so that tests can bring their own."""
+"""The clocks of the machine, behind an object that tests and the simulator replace."""
 
 import time
 
 
 class Clock:
-    """The steady clock for all spans of time, and the time of day."""
+    """Reads the monotonic clock, which measures durations, and the time of day."""
 
     def now(self) -> float:
-        """Seconds on the steady clock; never goes back, whatever the time of day does.
+        """Returns the monotonic clock in seconds; it never goes back, whatever happens to the time of day.
 
         >>> Clock().now() <= Clock().now()
         True
@@ -15,7 +15,7 @@
         return time.monotonic()
 
     def wall_time(self) -> float:
-        """Seconds since the start of 1970, as this machine has it; may jump at any moment.
+        """Returns the time of day in seconds since 1970-01-01T00:00Z, as this machine has it; it may jump.
 
         >>> Clock().wall_time() > 1.7e9
         True
--- a/archhatch/runtime/counters.py
+++ b/archhatch/runtime/counters.py
@@ -1,24 +1,30 @@
-"""Counters: what happened, by name. Logs are written from these first."""
+"""Event counters of a process. Every event that an operator may ask for is counted; logs carry the totals."""
 
 from collections import Counter
 
 
 class Counters:
-    def __init__(self):
-        self.counts: Counter = Counter()
+    """Counts events by name.
 
-    def add(self, name: str, n: int = 1) -> None:
-        """Count n more of name.
+    Attributes:
+        counts: The number of events by name; a name that was never counted reads as 0.
+    """
 
-        >>> c = Counters(); c.add("send.ok"); c.add("send.ok", 2); c.counts["send.ok"]
+    def __init__(self) -> None:
+        self.counts: Counter[str] = Counter()
+
+    def add(self, name: str, increment: int = 1) -> None:
+        """Counts `increment` more events of a name.
+
+        >>> counters = Counters(); counters.add("send.ok"); counters.add("send.ok", 2); counters.counts["send.ok"]
         3
         """
-        self.counts[name] += n
+        self.counts[name] += increment
 
     def summary(self) -> str:
-        """All counters as one line, by name.
+        """Returns all counters in one line, sorted by name.
 
-        >>> c = Counters(); c.add("b"); c.add("a", 2); c.summary()
+        >>> counters = Counters(); counters.add("b"); counters.add("a", 2); counters.summary()
         'a=2 b=1'
         """
-        return " ".join(f"{k}={v}" for k, v in sorted(self.counts.items()))
+        return " ".join(f"{name}={count}" for name, count in sorted(self.counts.items()))
--- a/archhatch/runtime/document_encoding.py
+++ b/archhatch/runtime/document_encoding.py
@@ -1,17 +1,18 @@
-"""Encoding of documents that are kept in memory."""
+"""Encoding of documents whose bytes are kept in memory."""
 
 from __future__ import annotations
 
 import orjson
 
 
-def encode_kept(doc: object) -> bytes:
-    """A document as JSON, in bytes of just that length.
+def encode_kept(document: object) -> bytes:
+    """Returns a document as JSON, in a buffer of exactly the needed length.
 
-    What orjson gives keeps the buffer that it was written into: eight times the length of a long text, and 1 KiB at the
-    least. That is of no account for a message, but a leader keeps thousands of results.
+    The bytes that orjson returns keep the buffer that they were written into: eight times the length of a long text,
+    and at least 1 KiB. That does not matter for a message that is sent and dropped, but a leader keeps thousands of
+    results.
 
     >>> encode_kept({"a": [1, 2]})
     b'{"a":[1,2]}'
     """
-    return bytes(memoryview(orjson.dumps(doc)))
+    return bytes(memoryview(orjson.dumps(document)))
--- a/archhatch/runtime/numbers.py
+++ b/archhatch/runtime/numbers.py
@@ -1,4 +1,4 @@
-"""Strict readers of numbers that come from outside: digits only, within bounds."""
+"""Strict parsers of numbers in external input: digits only, of bounded length."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def read_count(text: str) -> int | None:
-    """A whole number that is not negative; None for anything else.
+    """Parses a non-negative integer; returns None for anything else.
 
     >>> read_count("12"), read_count("-1"), read_count("1e3"), read_count("")
     (12, None, None, None)
@@ -18,7 +18,7 @@
 
 
 def read_decimal(text: str) -> float | None:
-    """A decimal number that is not negative, without an exponent; None for anything else, such as `nan`.
+    """Parses a non-negative decimal number without exponent; returns None for anything else, such as `nan`.
 
     >>> read_decimal("1500"), read_decimal("2.5"), read_decimal("nan"), read_decimal("inf"), read_decimal("-1")
     (1500.0, 2.5, None, None, None)
--- a/archhatch/runtime/result_codes.py
+++ b/archhatch/runtime/result_codes.py
@@ -1,4 +1,4 @@
-"""Numbered result codes, and the small value that describes an answer."""
+"""Numbered result codes, and the HTTP answers that carry them."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 
 import orjson
 
-# number: (HTTP status, what it says). The table in docs/codes.md is made from this one.
-CODES = {
+# Code: (HTTP status, text). The texts are part of the public interface (field "Says"); docs/codes.md holds the same
+# table. Codes from 6001 are findings of `archhatch doctor` and have no HTTP status.
+CODES: dict[int, tuple[int, str]] = {
     1000: (200, "done"),
     1001: (202, "taken"),
     2001: (400, "the call cannot be read"),
@@ -75,9 +76,18 @@
 }
 
 
+JSON_HEADER = ("Content-Type", "application/json")
+
+
 @dataclass(slots=True)
 class Result:
-    """An answer before it is written; one place writes it.
+    """An HTTP answer before it is written to the connection.
+
+    Attributes:
+        status: The HTTP status.
+        body: The body, complete.
+        head: Header fields as (name, value) pairs, beside those that the server adds.
+        close: Whether the connection is closed after this answer.
 
     >>> Result(200, b"ok").status
     200
@@ -85,21 +95,26 @@
 
     status: int
     body: bytes = b""
-    head: list = field(default_factory=list)
+    head: list[tuple[str, str]] = field(default_factory=list)
     close: bool = False
 
 
-def json_result(code: int, doc: object, head: list | None = None) -> Result:
-    """A Result with a JSON body and the status of a numbered code.
+def json_result(code: int, document: object, head: list[tuple[str, str]] | None = None) -> Result:
+    """Returns an answer with a JSON body and the HTTP status of a result code.
 
     >>> json_result(1000, {"a": 1}).body
     b'{"a":1}'
     """
-    return Result(CODES[code][0], orjson.dumps(doc), [("Content-Type", "application/json")] + (head or []))
+    return Result(CODES[code][0], orjson.dumps(document), [JSON_HEADER] + (head or []))
 
 
 def error_result(code: int, why: str = "", after_s: float | None = None) -> Result:
-    """A Result for a fault: its number, its words and, where it promises, when to come back.
+    """Returns an answer for an error.
+
+    Args:
+        code: The result code; it determines the HTTP status and the text.
+        why: What was wrong with this request.
+        after_s: Seconds after which the caller may retry (header Retry-After), or None to promise nothing.
 
     >>> error_result(2006).status
     404
--- a/archhatch/runtime/state_board.py
+++ b/archhatch/runtime/state_board.py
@@ -1,51 +1,68 @@
-"""The blackboard: named values that controllers read and write, and can wait on."""
+"""A board of named values that tasks of one process read, change and wait on."""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Hashable
+from typing import Any
 
 
 class StateBoard:
-    """Values by name, each with a count of its changes.
+    """Named values, each with a version that counts its changes.
 
-    >>> b = StateBoard(); b.publish("plan", 7); b.read("plan"), b.version("plan")
+    A name is a string or a tuple such as ("lot", job_id). Values may live elsewhere: `notify` then only announces that
+    the value behind a name has changed in place.
+
+    >>> board = StateBoard(); board.publish("plan", 7); board.read("plan"), board.version("plan")
     (7, 1)
     """
 
-    def __init__(self):
-        self._vals: dict = {}
-        self._turns: dict = {}
-        self._waits: dict = {}
+    def __init__(self) -> None:
+        self._values: dict[Hashable, Any] = {}
+        self._versions: dict[Hashable, int] = {}
+        self._waiters: dict[Hashable, list[asyncio.Future]] = {}
 
-    def publish(self, name: str, value) -> None:
-        self._vals[name] = value
+    def publish(self, name: Hashable, value: object) -> None:
+        """Replaces the value of a name and wakes the tasks that wait for it."""
+        self._values[name] = value
         self.notify(name)
 
-    def notify(self, name: str) -> None:
-        """Say that the value under name changed in place."""
-        self._turns[name] = self._turns.get(name, 0) + 1
-        for fut in self._waits.pop(name, ()):
-            if not fut.done():
-                fut.set_result(None)
+    def notify(self, name: Hashable) -> None:
+        """Announces that the value of a name has changed in place, and wakes the tasks that wait for it."""
+        self._versions[name] = self._versions.get(name, 0) + 1
+        for waiter in self._waiters.pop(name, ()):
+            if not waiter.done():
+                waiter.set_result(None)
+
+    def read(self, name: Hashable, default: Any = None) -> Any:  # noqa: ANN401 - values of a board are of any type
+        """Returns the value that was last published under a name."""
+        return self._values.get(name, default)
+
+    def version(self, name: Hashable) -> int:
+        """Returns how often the value of a name has changed."""
+        return self._versions.get(name, 0)
 
-    def read(self, name: str, default=None):
-        return self._vals.get(name, default)
+    async def wait_for_change(self, name: Hashable, version: int, timeout_s: float | None = None) -> int:
+        """Waits until the value of a name has another version.
 
-    def version(self, name: str) -> int:
-        return self._turns.get(name, 0)
+        Args:
+            name: The name.
+            version: The version that the caller has seen; if it is outdated already, the call returns at once.
+            timeout_s: The longest wait in seconds; None waits without limit.
 
-    async def wait_for_change(self, name: str, turn: int, timeout_s: float | None = None) -> int:
-        """Wait until the value under name changed after turn, or secs have passed; the turn now."""
-        if self.version(name) != turn:
+        Returns:
+            The version now; it equals `version` if the time ran out.
+        """
+        if self.version(name) != version:
             return self.version(name)
-        fut = asyncio.get_running_loop().create_future()
-        self._waits.setdefault(name, []).append(fut)
+        waiter = asyncio.get_running_loop().create_future()
+        self._waiters.setdefault(name, []).append(waiter)
         try:
-            await asyncio.wait_for(fut, timeout_s)
-        except (asyncio.TimeoutError, TimeoutError):
+            await asyncio.wait_for(waiter, timeout_s)
+        except TimeoutError:
             pass
         finally:
-            waits = self._waits.get(name)
-            if waits and fut in waits:
-                waits.remove(fut)
+            waiters = self._waiters.get(name)
+            if waiters and waiter in waiters:
+                waiters.remove(waiter)
         return self.version(name)
--- a/archhatch/runtime/task_group.py
+++ b/archhatch/runtime/task_group.py
@@ -1,58 +1,86 @@
-"""A crew: the long tasks of a process. One that ends by a fault is logged and started again."""
+"""Background tasks of a process: kept alive, restarted after a failure, and cancelled together at shutdown."""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING, Any
+
+from .counters import Counters
+
+if TYPE_CHECKING:
+    from loguru import Logger
+
+FIRST_RESTART_DELAY_S = 0.05  # short, since most failures of a loop are over at once
+MAX_RESTART_DELAY_S = 1.0  # a loop that fails every time must neither fill the log nor take the processor
+CANCEL_RETRY_S = 0.05  # how long a task may take to end before it is cancelled again
 
 
 class TaskGroup:
-    """Holds tasks so that none is lost, and ends them together.
+    """Keeps references to the background tasks, because the event loop holds only weak ones.
+
+    Unlike asyncio.TaskGroup, a failure of one task does not cancel the others.
 
-    >>> # task_group = TaskGroup(log); task_group.run_forever("pings", self._ping_loop); await task_group.cancel_all()
+    Attributes:
+        tasks: The tasks that have not ended.
+
+    >>> async def example():
+    ...     task_group = TaskGroup(log=None, counters=Counters())
+    ...     task_group.run_forever("sleep", asyncio.sleep, 3600)
+    ...     await task_group.cancel_all()
+    ...     return len(task_group.tasks)
+    >>> asyncio.run(example())
+    0
     """
 
-    def __init__(self, log, counters):
-        self.log, self.counters = log, counters
-        self.tasks: set = set()
+    def __init__(self, log: Logger, counters: Counters) -> None:
+        self._log = log
+        self._counters = counters
+        self.tasks: set[asyncio.Task] = set()
+
+    def run_forever(self, name: str, function: Callable[..., Awaitable[object]], *args: object) -> asyncio.Task:
+        """Runs function(*args) in a task; after an exception it is run again, with a growing delay.
 
-    def run_forever(self, name: str, function, *args) -> asyncio.Task:
-        """Run fn(*args) for good: after a fault it is run again, a little later."""
-        return self.spawn(name, self._again, name, function, args)
+        A function that returns has ended and is not run again.
+        """
+        return self.spawn(name, self._run_until_success, name, function, args)
 
-    def spawn(self, name: str, function, *args) -> asyncio.Task:
-        """Run fn(*args) once; a fault is counted and logged."""
-        task = asyncio.get_running_loop().create_task(self._guard(name, function, args))
+    def spawn(self, name: str, function: Callable[..., Awaitable[object]], *args: object) -> asyncio.Task:
+        """Runs function(*args) once in a task; an exception is counted and logged."""
+        task = asyncio.get_running_loop().create_task(self._run_logged(name, function, args))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
-    async def _guard(self, name, function, args):
+    async def _run_logged(self, name: str, function: Callable[..., Awaitable[object]], args: tuple) -> Any:  # noqa: ANN401 - the function's result
         try:
             return await function(*args)
-        except asyncio.CancelledError:
-            raise
-        except Exception as e:  # the last stop of a task: say so, never die silently
-            self.counters.add("fault." + name)
-            self.log.opt(exception=e).error("task {} ended by a fault", name)
-
-    async def _again(self, name, function, args):
-        pause = 0.05
+        except Exception as error:  # noqa: BLE001 - top of a task: nobody awaits it, so the failure is logged here
+            self._counters.add("fault." + name)
+            self._log.opt(exception=error).error("task failed: name={}", name)
+
+    async def _run_until_success(self, name: str, function: Callable[..., Awaitable[object]], args: tuple) -> None:
+        delay_s = FIRST_RESTART_DELAY_S
         while True:
             try:
                 await function(*args)
+            except Exception as error:  # noqa: BLE001 - top of a task: any failure is logged and followed by a restart
+                self._counters.add("fault." + name)
+                self._log.opt(exception=error).error(
+                    "task failed, will be restarted: name={} delay_s={}", name, delay_s
+                )
+            else:
                 return
-            except asyncio.CancelledError:
-                raise
-            except Exception as e:
-                self.counters.add("fault." + name)
-                self.log.opt(exception=e).error("task {} failed; again in {}s", name, pause)
-            await asyncio.sleep(pause)
-            pause = min(1.0, pause * 2)
+            await asyncio.sleep(delay_s)
+            delay_s = min(MAX_RESTART_DELAY_S, delay_s * 2)
 
     async def cancel_all(self) -> None:
-        """Cancel all tasks and wait for them; one that missed its cancellation is told again."""
-        left = {t for t in self.tasks if t is not asyncio.current_task()}
-        while left:
-            for t in left:
-                t.cancel()
-            _, left = await asyncio.wait(left, timeout=0.05)
+        """Cancels all tasks but the calling one, and waits until they have ended.
+
+        A task that swallowed its cancellation, for instance in asyncio.wait_for, is cancelled again.
+        """
+        remaining = {task for task in self.tasks if task is not asyncio.current_task()}
+        while remaining:
+            for task in remaining:
+                task.cancel()
+            _, remaining = await asyncio.wait(remaining, timeout=CANCEL_RETRY_S)
