--- a/archhatch/consensus/group.py
+++ b/archhatch/consensus/group.py
@@ -1,26 +1,43 @@
-"""Who must say yes. A state names its voters and, while they change, those before them."""
+"""Whose agreement counts. A state names its voters and, while they change, the previous ones."""
 
+from __future__ import annotations
 
-def majority(ids, voters) -> bool:
-    """More than half of the voters are among ids.
+from collections.abc import Container, Iterable, Sized
+from typing import Protocol
 
-    >>> majority({"a", "b"}, {"a": 1, "b": 1, "c": 1}), majority({"a"}, {"a": 1, "b": 1})
+from .register_state import RegisterState
+
+
+class Voters(Iterable[str], Sized, Protocol):
+    """The ids of a group; a mapping from id to address is one."""
+
+
+def is_majority(node_ids: Container[str], voters: Voters) -> bool:
+    """Returns whether more than half of the voters are among the nodes.
+
+    >>> is_majority({"a", "b"}, {"a": 1, "b": 1, "c": 1}), is_majority({"a"}, {"a": 1, "b": 1})
     (True, False)
     """
-    return 2 * sum(1 for v in voters if v in ids) > len(voters)
+    return 2 * sum(1 for voter in voters if voter in node_ids) > len(voters)
 
 
-def covers(ids, state) -> bool:
-    """A majority of the state's voters, and of the earlier ones while the group changes.
+def is_quorum(node_ids: Container[str], state: dict) -> bool:
+    """Returns whether the nodes are a majority of a state's voters, and of the previous ones while the group changes.
 
-    >>> covers({"a", "b"}, {"voters": {"a": 1, "b": 1, "c": 1}, "prev": {"a": 1, "c": 1, "d": 1}})
+    >>> is_quorum({"a", "b"}, {"voters": {"a": 1, "b": 1, "c": 1}, "prev": {"a": 1, "c": 1, "d": 1}})
     False
+
+    Args:
+        node_ids: Ids of nodes that agree.
+        state: The document of a register's state.
     """
-    return majority(ids, state["voters"]) and (not state["prev"] or majority(ids, state["prev"]))
+    view = RegisterState(state)
+    if not is_majority(node_ids, view.voters):
+        return False
+    previous = view.previous_voters
+    return not previous or is_majority(node_ids, previous)
 
 
-def members(state) -> dict:
-    """All voters of a state with their addresses, earlier ones included."""
-    out = dict(state["prev"] or {})
-    out.update(state["voters"])
-    return out
+def members(state: dict) -> dict[str, str]:
+    """Returns the voters that a state's document names with their addresses, the previous ones included."""
+    return RegisterState(state).all_voters()
--- a/archhatch/consensus/proposer.py
+++ b/archhatch/consensus/proposer.py
@@ -1,292 +1,418 @@
-"""The asking side of a register: runs commands on it under a ballot that is kept while nobody objects."""
+"""The proposing side of a register: runs commands on it under a proposal number that it keeps while nobody objects."""
 
 from __future__ import annotations
 
 import asyncio
 import random
+from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-
+from ..exceptions import ArchhatchError
+from ..runtime import Counters
+from .commands import Commands
+from .group import is_quorum
+from .messages import ACCEPT, CONFIRM, PREPARE, AcceptRequest, ProposalRequest
 from .proposal_number import ZERO, ProposalNumber, new_incarnation
-from .group import covers, members
+from .register_state import RegisterState
+from .voter_poll import Answers, AskNode, VoterPoll
+
+MAX_ATTEMPTS = 3  # rounds under new numbers before the outcome is called unclear
+MAX_GROUP_CHANGES = 4  # changes of the group that one prepare follows
+RETRY_DELAY_RATIO = (0.02, 0.12)  # of the time for a round: the random delay before a new number, against races
 
-TRIES = 3  # rounds under new ballots before the outcome is called unclear
-GROUP_STEPS = 4  # changes of the group that a prepare follows
-PAUSE = (0.02, 0.12)  # of the time for a round: the pause before a new ballot
+CommandOutcome = tuple[int, object]  # result code, document
 
 
-class UnclearResultError(Exception):
-    """No majority answered: what was asked may have been taken, or not."""
+class UnclearResultError(ArchhatchError):
+    """No majority answered: the command may have been carried out, or not."""
 
 
 @dataclass(slots=True)
-class _Job:
-    """A command that waits for its result. After `end` it is not started any more."""
+class _PendingCommand:
+    """A command that waits for its result.
+
+    Attributes:
+        name: Its name among the commands.
+        args: Its arguments.
+        done: Gets its outcome.
+        start_before: When it is not started any more, on the event loop's clock, in seconds.
+    """
 
     name: str
     args: dict
     done: asyncio.Future
-    end: float
+    start_before: float
 
-    def wanted(self, now: float) -> bool:
-        """Whether somebody still waits for it, and its time has not run out."""
-        return not self.done.done() and now < self.end
+    def is_wanted(self, now: float) -> bool:
+        """Returns whether a caller still waits for it, and its time is not up."""
+        return not self.done.done() and now < self.start_before
 
-    def fail(self, why: Exception) -> None:
+    def succeed(self, outcome: CommandOutcome) -> None:
         if not self.done.done():
-            self.done.set_exception(why)
+            self.done.set_result(outcome)
+
+    def fail(self, error: Exception) -> None:
+        if not self.done.done():
+            self.done.set_exception(error)
 
 
 @dataclass(slots=True)
-class _Heard:
-    """What the acceptors of one prepare have told."""
+class _Promises:
+    """What the voters answered to one prepare.
+
+    Attributes:
+        voter_ids: Those that promised.
+        state: The newest state that any of them accepted.
+        proposal_number: The number under which that was.
+    """
 
-    answers: dict = field(default_factory=dict)
-    state: dict | None = None
+    voter_ids: set[str] = field(default_factory=set)
+    state: RegisterState | None = None
     proposal_number: ProposalNumber = ZERO
 
-    def add(self, got: dict) -> None:
-        """Fold in answers; the state under the highest ballot counts, of one ballot the latest."""
-        self.answers.update(got)
-        for answer in got.values():
-            state = answer["state"]
-            if state is None:
+    def add(self, answers: Answers) -> None:
+        """Adds answers; the state under the highest number counts, of one number the latest version."""
+        self.voter_ids.update(answers)
+        for answer in answers.values():
+            if answer.state is None or answer.accepted_number is None:
                 continue
-            rank = (ProposalNumber.from_wire(answer["ballot"]), state["stamp"])
-            if self.state is None or rank > (self.proposal_number, self.state["stamp"]):
-                self.state, self.proposal_number = state, rank[0]
+            state = RegisterState(answer.state)
+            rank = (answer.accepted_number, state.version)
+            if self.state is None or rank > (self.proposal_number, self.state.version):
+                self.state = state
+                self.proposal_number = answer.accepted_number
+
+
+@dataclass(frozen=True, slots=True)
+class _BatchResult:
+    """What commands made of a value."""
+
+    value: dict
+    outcomes: list[CommandOutcome]
+    is_changed: bool
 
 
 class Proposer:
     """Runs commands on one register, several at a time in one round.
 
-    ask(addr, verb, doc) calls another node (or this one) and gives its answer, or None. base() gives the newest state
-    that this node has seen, to know whom to ask; least() the version that is known to be chosen.
-
-    >>> # code, doc = await proposer.execute("plan.get", {}); raises UnclearResultError
+    >>> from .acceptor import Acceptor
+    >>> class MemoryLog:
+    ...     async def append(self, *records): pass
+    >>> async def set_and_get():
+    ...     commands = Commands()
+    ...     commands.on("set")(lambda value, args: (1000, value.update(x=args["x"]), True))
+    ...     commands.on("get")(lambda value, args: (1000, value["x"], False))
+    ...     voter = Acceptor("plan", MemoryLog(), Counters())
+    ...     async def ask(address, verb, document):
+    ...         parts = [document["state"]] if verb == ACCEPT else []
+    ...         answer = await getattr(voter, verb.removeprefix("part."))(document["ballot"], *parts)
+    ...         return {"me": "a", **answer}
+    ...     base = {"stamp": 0, "val": {}, "voters": {"a": "10.0.0.1:1"}, "prev": None}
+    ...     proposer = Proposer("plan", "a", commands, ask, lambda: base, lambda shard, state: None, Counters())
+    ...     await proposer.execute("set", {"x": 5})
+    ...     return await proposer.execute("get", {})
+    >>> asyncio.run(set_and_get())
+    (1000, 5)
+
+    Attributes:
+        shard: The name of the register.
+        node_id: The node that proposes.
+        commands: The commands by name.
+        counters: Counts what came of the rounds.
+        timeout_s: How long one round may take.
+        incarnation: Names this process in proposal numbers.
+        prepared_number: The number that a majority promised, or None before a prepare and after a refusal.
+        state: The state that this proposer had accepted last, or found by its prepare.
+        is_committed: Whether a majority is known to have accepted `state` under `prepared_number`.
+        highest_round: The highest round that this proposer used or was refused with.
     """
 
-    def __init__(
-        self, shard, me, commands, ask, base, publish, counters, timeout_s=1.0, chosen_version=None, incarnation=None
-    ):
-        self.shard, self.me, self.commands = shard, me, commands
-        self._ask, self._base, self._publish, self.counters = ask, base, publish, counters
-        self._chosen_version = chosen_version or (lambda: 0)
+    def __init__(  # noqa: PLR0913, PLR0917 - the owner hands in each of its parts
+        self,
+        shard: str,
+        node_id: str,
+        commands: Commands,
+        ask: AskNode,
+        base: Callable[[], dict | None],
+        publish: Callable[[str, dict], object],
+        counters: Counters,
+        timeout_s: float = 1.0,
+        chosen_version: Callable[[], int] | None = None,
+        incarnation: str | None = None,
+    ) -> None:
+        """Makes a proposer.
+
+        Args:
+            shard: The name of the register.
+            node_id: The node that proposes.
+            commands: The commands by name.
+            ask: Calls another node, or this one.
+            base: Returns the document of the newest state that this node has seen, which names the voters to ask.
+            publish: Takes the register's name and the document of a state that was chosen.
+            counters: Counts what came of the rounds.
+            timeout_s: How long one round may take.
+            chosen_version: Returns the version that is known to be chosen.
+            incarnation: Names this process; random by default.
+        """
+        self.shard = shard
+        self.node_id = node_id
+        self.commands = commands
+        self.counters = counters
         self.timeout_s = timeout_s
         self.incarnation = incarnation or new_incarnation()
         self.prepared_number: ProposalNumber | None = None
-        self.state: dict | None = None
+        self.state: RegisterState | None = None
         self.is_committed = False
         self.highest_round = 0
-        self._queue: list[_Job] = []
-        self._busy = asyncio.Lock()
+        self._voters = VoterPoll(ask, counters, timeout_s)
+        self._base = base
+        self._publish = publish
+        self._chosen_version = chosen_version or (lambda: 0)
+        self._queue: list[_PendingCommand] = []
+        self._round_lock = asyncio.Lock()
         self._runner: asyncio.Task | None = None
-        self._late: set = set()
 
-    async def execute(self, name: str, args: dict, within: float = float("inf")):
-        """Run a command; its code and document once a majority stands behind them.
+    # -- commands
+
+    async def execute(self, name: str, args: dict, start_within_s: float = float("inf")) -> CommandOutcome:
+        """Runs a command.
 
-        A command that has not begun after `within` seconds, or whose caller has gone, is never begun.
+        Args:
+            name: The name of the command.
+            args: Its arguments.
+            start_within_s: A command that has not begun by then, or whose caller was cancelled, is never begun.
+
+        Returns:
+            The command's code and document, once a majority has accepted its change or confirmed the value it read.
+
+        Raises:
+            UnclearResultError: No majority answered.
         """
         loop = asyncio.get_running_loop()
-        job = _Job(name, args, loop.create_future(), loop.time() + within)
-        self._queue.append(job)
+        command = _PendingCommand(name, args, loop.create_future(), loop.time() + start_within_s)
+        self._queue.append(command)
         if self._runner is None or self._runner.done():
             # a task of its own: a caller that is cancelled takes nobody else's command with it
-            self._runner = loop.create_task(self._run())
-        return await job.done
+            self._runner = loop.create_task(self._run_queue())
+        return await command.done
 
-    async def reconfigure(self, voters: dict) -> bool:
-        """Change the group, one step at a time, through a state that both groups must accept.
+    async def _run_queue(self) -> None:
+        while self._queue:
+            async with self._round_lock:
+                batch = self._queue
+                self._queue = []
+                try:
+                    await self._run_batch(batch)
+                except Exception as error:  # noqa: BLE001 - the top of a task: its callers must not wait for ever
+                    self.counters.add("part.fault")
+                    for command in batch:
+                        command.fail(UnclearResultError(f"{self.shard}: {error!r}"))
 
-        A newcomer learns the whole state, synced, before the change begins, so that it never votes without it.
+    async def _run_batch(self, batch: list[_PendingCommand]) -> None:
+        """Runs commands in one round, or in as many as it takes."""
+        loop = asyncio.get_running_loop()
+        for _ in range(MAX_ATTEMPTS):
+            if not any(command.is_wanted(loop.time()) for command in batch):
+                break
+            if not await self._ensure_prepared():
+                break
+            now = loop.time()
+            wanted = [command for command in batch if command.is_wanted(now)]
+            result = self._apply(wanted)
+            if await self._commit(result):
+                for command, outcome in zip(wanted, result.outcomes, strict=True):
+                    command.succeed(outcome)
+        for command in batch:
+            command.fail(UnclearResultError(self.shard))
+
+    def _apply(self, batch: list[_PendingCommand]) -> _BatchResult:
+        """Runs commands one after the other on the value of the state."""
+        state = self._require_state()
+        value = state.value
+        outcomes: list[CommandOutcome] = []
+        is_changed = False
+        for command in batch:
+            args = {**command.args, "at_version": state.version}
+            result = self.commands.run_isolated(value, command.name, args)
+            value = result.value
+            outcomes.append((result.code, result.document))
+            is_changed = is_changed or result.is_changed
+        return _BatchResult(value, outcomes, is_changed)
+
+    async def _commit(self, result: _BatchResult) -> bool:
+        """Has a majority accept what the commands made, or confirm what they read."""
+        state = self._require_state()
+        if result.is_changed:
+            return await self._accept(state.with_value(result.value))
+        if not self.is_committed:
+            return await self._accept(state)
+        return await self._confirm()
+
+    # -- changes of the group
+
+    async def reconfigure(self, voters: dict[str, str]) -> bool:
+        """Changes the group, one step at a time, through a state that both groups must accept.
+
+        A joining voter receives the whole state, synced, before the change begins, so that it never votes without it.
+
+        Args:
+            voters: The new group: id -> address. If it is empty, a change that was begun is finished, and the state is
+                committed.
+
+        Returns:
+            Whether the group is the one asked for, and its state committed.
         """
-        async with self._busy:
-            if not await self._hold():
+        async with self._round_lock:
+            if not await self._ensure_prepared():
                 return False
-            if self.state["prev"] and not await self._accept(self._next({"prev": None})):
+            if self._require_state().previous_voters and not await self._end_group_change():
                 return False
-            if not voters or voters == self.state["voters"]:
-                return self.is_committed or await self._accept(self.state)
-            joiners = {k: v for k, v in voters.items() if k not in self.state["voters"]}
-            if not await self._teach(joiners):
+            state = self._require_state()
+            if not voters or voters == state.voters:
+                return self.is_committed or await self._accept(state)
+            joining = {voter: address for voter, address in voters.items() if voter not in state.voters}
+            if not await self._replicate_to(joining):
                 return False
-            step = self._next({"voters": voters, "prev": self.state["voters"]})
-            return await self._accept(step, joiners) and await self._accept(self._next({"prev": None}), joiners)
+            return await self._accept(state.with_voters(voters), joining) and await self._end_group_change(joining)
 
-    def _next(self, changes: dict) -> dict:
-        return {**self.state, **changes, "stamp": self.state["stamp"] + 1}
+    async def _end_group_change(self, required: Collection[str] = ()) -> bool:
+        return await self._accept(self._require_state().without_previous_voters(), required)
 
-    async def _teach(self, learners: dict) -> bool:
-        if not learners:
+    async def _replicate_to(self, joining: dict[str, str]) -> bool:
+        """Has nodes that do not vote yet accept the present state; all of them must."""
+        if not joining:
             return True
-        doc = {"ballot": self.prepared_number.to_wire(), "state": self.state}
-        got = await self._poll(learners, "part.accept", doc, lambda g: set(g) >= set(learners))
-        if all(k in got and got[k]["ok"] for k in learners):
+        request = AcceptRequest(self.shard, self._require_number(), self._require_state().document)
+        answers = await self._poll(joining, ACCEPT, request.to_document(), lambda answers: set(answers) >= set(joining))
+        if all(voter in answers and answers[voter].is_ok for voter in joining):
             return True
-        if any(not a["ok"] for a in got.values()):
-            self.prepared_number, self.is_committed = (
-                None,
-                False,
-            )  # it promised a higher ballot: the next try goes above it
-        self.counters.add("part.learner_silent")
+        if any(not answer.is_ok for answer in answers.values()):
+            self._discard_preparation()  # a node promised a higher number: the next attempt goes above it
+        self.counters.add("part.learner_unreachable")
         return False
 
-    async def _run(self) -> None:
-        while self._queue:
-            async with self._busy:
-                jobs, self._queue = self._queue, []
-                try:
-                    await self._serve(jobs)
-                except Exception as e:
-                    self.counters.add("part.fault")
-                    for job in jobs:
-                        job.fail(UnclearResultError(f"{self.shard}: {e!r}"))
+    # -- rounds
 
-    async def _hold(self) -> bool:
-        for _ in range(TRIES):
+    async def _ensure_prepared(self) -> bool:
+        """Prepares a new number unless one is held; several attempts."""
+        for _ in range(MAX_ATTEMPTS):
             if self.prepared_number is not None or await self._prepare():
                 return True
-            await asyncio.sleep(self.timeout_s * random.uniform(*PAUSE))
+            await asyncio.sleep(self.timeout_s * random.uniform(*RETRY_DELAY_RATIO))
         return False
 
-    async def _serve(self, jobs: list) -> None:
-        loop = asyncio.get_running_loop()
-        for _ in range(TRIES):
-            if not any(job.wanted(loop.time()) for job in jobs) or not await self._hold():
-                break
-            now = loop.time()
-            live = [job for job in jobs if job.wanted(now)]
-            value, results, changed = self._apply(live)
-            if changed:
-                ok = await self._accept(self._next({"val": value}))
-            elif not self.is_committed:
-                ok = await self._accept(self.state)
-            else:
-                ok = await self._confirm()
-            if ok:
-                for job, result in zip(live, results):
-                    if not job.done.done():
-                        job.done.set_result(result)
-        for job in jobs:
-            job.fail(UnclearResultError(self.shard))
-
-    def _apply(self, jobs: list) -> tuple:
-        """Run commands one behind the other: the value after them, the result of each, whether any changed it."""
-        value, results, changed = self.state["val"], [], False
-        for job in jobs:
-            args = {**job.args, "at_version": self.state["stamp"]}
-            code, doc, did, value = self.commands.run_isolated(value, job.name, args)
-            results.append((code, doc))
-            changed = changed or did
-        return value, results, changed
-
-    async def _poll(self, targets: dict, verb: str, doc: dict, enough) -> dict:
-        """Ask all targets at once; the answers by id, as soon as there are enough or one refuses."""
-        loop = asyncio.get_running_loop()
-        tasks = {
-            asyncio.ensure_future(self._ask(address, verb, {"part": self.shard, **doc})): vid
-            for vid, address in targets.items()
-        }
-        got: dict = {}
-        wait = set(tasks)
-        end = loop.time() + self.timeout_s
-        while wait and not enough(got) and loop.time() < end:
-            done, wait = await asyncio.wait(wait, timeout=end - loop.time(), return_when=asyncio.FIRST_COMPLETED)
-            for task in done:
-                self._note(tasks[task], task, got)
-            if any(not a.get("ok") for a in got.values()):
-                break
-        for task in wait:
-            self._late.add(task)
-            task.add_done_callback(self._forget_late)
-        return got
-
-    def _note(self, vid: str, task: asyncio.Task, got: dict) -> None:
-        """Fold one answer, if the very node that was meant gave it; a call that failed is no answer."""
-        if task.exception() is not None:
-            self.counters.add("part.ask_failed")
-            return
-        answer = task.result()
-        if answer is None:
-            return
-        if answer.get("me") != vid:
-            self.counters.add("part.other_life")
-            return
-        got[vid] = answer
-        if not answer.get("ok"):
-            self.highest_round = max(self.highest_round, answer["promised"][0])
-
-    def _forget_late(self, task: asyncio.Task) -> None:
-        self._late.discard(task)
-        if not task.cancelled() and task.exception() is not None:
-            self.counters.add("part.ask_failed")
-
     async def _prepare(self) -> bool:
-        base = self._base()
-        if base is None:
+        """Has a majority promise a new number, and takes over the newest state that they accepted.
+
+        The voters may have been replaced since this node's base: whoever answers names the next group, which is asked
+        too, until a majority of the newest one has promised.
+        """
+        base_document = self._base()
+        if base_document is None:
             return False
+        base = RegisterState(base_document)
         self.highest_round += 1
-        proposal_number = ProposalNumber(self.highest_round, self.me, self.incarnation)
-        heard, group = _Heard(), base
-        for _ in range(GROUP_STEPS):
-            targets = {k: v for k, v in members(group).items() if k not in heard.answers}
-            got = await self._poll(
-                targets,
-                "part.prepare",
-                {"ballot": proposal_number.to_wire()},
-                lambda g: covers(set(g) | set(heard.answers), group),
-            )
-            if any(not a["ok"] for a in got.values()):
-                self.counters.add("part.lost_race")
+        number = ProposalNumber(self.highest_round, self.node_id, self.incarnation)
+        promises = _Promises()
+        group = base
+        for _ in range(MAX_GROUP_CHANGES):
+            if not await self._collect_promises(number, group, promises):
                 return False
-            heard.add(got)
-            if not covers(set(heard.answers), group):
-                return False
-            state = heard.state or base
-            if covers(set(heard.answers), state):
-                return self._take_lead(proposal_number, state)
-            group = state
+            newest = promises.state or base
+            if is_quorum(promises.voter_ids, newest.document):
+                return self._take_lead(number, newest)
+            group = newest
         return False
 
-    def _take_lead(self, proposal_number: ProposalNumber, state: dict) -> bool:
-        if state["stamp"] < self._chosen_version():
+    async def _collect_promises(self, number: ProposalNumber, group: RegisterState, promises: _Promises) -> bool:
+        """Asks the voters of a group that have not promised yet; returns whether a quorum of the group has now."""
+        targets = {voter: address for voter, address in group.all_voters().items() if voter not in promises.voter_ids}
+        answers = await self._poll(
+            targets,
+            PREPARE,
+            ProposalRequest(self.shard, number).to_document(),
+            lambda answers: is_quorum(set(answers) | promises.voter_ids, group.document),
+        )
+        if any(not answer.is_ok for answer in answers.values()):
+            self.counters.add("part.lost_race")
+            return False
+        promises.add(answers)
+        return is_quorum(promises.voter_ids, group.document)
+
+    def _take_lead(self, proposal_number: ProposalNumber, state: RegisterState) -> bool:
+        """Keeps a number that was promised; refuses a state older than the one known to be chosen."""
+        if state.version < self._chosen_version():
             self.counters.add("part.older_than_chosen")  # these voters were left behind by a change of the group
             return False
-        self.prepared_number, self.state, self.is_committed = proposal_number, state, False
-        self.counters.add("part.lead")
+        self.prepared_number = proposal_number
+        self.state = state
+        self.is_committed = False
+        self.counters.add("part.prepared")
         return True
 
-    async def _accept(self, state: dict, must=()) -> bool:
-        """Have a state accepted by both groups that count, and by each of `must`."""
-        before, proposal_number = self.state, self.prepared_number
+    async def _accept(self, state: RegisterState, required: Collection[str] = ()) -> bool:
+        """Has a state accepted by a quorum of its own group and of the present one, and by each required voter."""
+        present = self._require_state()
 
-        def chosen(ids) -> bool:
-            return covers(ids, state) and covers(ids, before) and ids >= set(must)
+        def is_chosen(voter_ids: set[str]) -> bool:
+            return (
+                is_quorum(voter_ids, state.document)
+                and is_quorum(voter_ids, present.document)
+                and voter_ids >= set(required)
+            )
 
-        got = await self._poll(
-            members(state) | members(before),
-            "part.accept",
-            {"ballot": proposal_number.to_wire(), "state": state},
-            lambda g: chosen(set(g)),
+        answers = await self._poll(
+            state.all_voters() | present.all_voters(),
+            ACCEPT,
+            AcceptRequest(self.shard, self._require_number(), state.document).to_document(),
+            lambda answers: is_chosen(set(answers)),
         )
-        if chosen({k for k, a in got.items() if a["ok"]}):
-            self.state, self.is_committed = state, True
-            self._publish(self.shard, state)
+        if is_chosen(_voters_that_agreed(answers)):
+            self.state = state
+            self.is_committed = True
+            self._publish(self.shard, state.document)
             return True
-        self.prepared_number, self.is_committed = None, False
+        self._discard_preparation()
         self.counters.add("part.accept_failed")
         return False
 
     async def _confirm(self) -> bool:
-        """Whether this ballot still is the highest that a majority has promised."""
-        got = await self._poll(
-            members(self.state),
-            "part.confirm",
-            {"ballot": self.prepared_number.to_wire()},
-            lambda g: covers(set(g), self.state),
+        """Returns whether the held number still is the highest that a majority has promised."""
+        state = self._require_state()
+        answers = await self._poll(
+            state.all_voters(),
+            CONFIRM,
+            ProposalRequest(self.shard, self._require_number()).to_document(),
+            lambda answers: is_quorum(set(answers), state.document),
         )
-        if covers({k for k, a in got.items() if a["ok"]}, self.state):
+        if is_quorum(_voters_that_agreed(answers), state.document):
             return True
-        self.prepared_number, self.is_committed = None, False
+        self._discard_preparation()
         return False
+
+    async def _poll(
+        self, targets: dict[str, str], verb: str, document: dict, is_enough: Callable[[Answers], bool]
+    ) -> Answers:
+        """Asks voters at once, and notes the rounds of the numbers that refusals name."""
+        answers = await self._voters.run(targets, verb, document, is_enough)
+        for answer in answers.values():
+            if not answer.is_ok:
+                self.highest_round = max(self.highest_round, answer.promised_round)
+        return answers
+
+    def _discard_preparation(self) -> None:
+        """Gives up the held number: the next round begins with a prepare."""
+        self.prepared_number = None
+        self.is_committed = False
+
+    def _require_state(self) -> RegisterState:
+        assert self.state is not None, "a round begins with a prepare"
+        return self.state
+
+    def _require_number(self) -> ProposalNumber:
+        assert self.prepared_number is not None, "a round begins with a prepare"
+        return self.prepared_number
+
+
+def _voters_that_agreed(answers: Answers) -> set[str]:
+    return {voter for voter, answer in answers.items() if answer.is_ok}
--- a/archhatch/control/admin_api.py
+++ b/archhatch/control/admin_api.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING, Any, Protocol
 
-from ..consensus import majority
+from ..consensus import is_majority
 from ..membership import shard_of
 from ..rpc import CallRefusedError
 from ..runtime import error_result, json_result
@@ -152,9 +152,9 @@
             answer = await call
             if answer is not None:
                 informed.add(answer["me"])
-            if majority(informed, voters):
+            if is_majority(informed, voters):
                 return
-        if not majority(informed, voters):
+        if not is_majority(informed, voters):
             raise CallRefusedError(NO_MAJORITY)
 
     # -- operators and trainers
--- a/archhatch/control/contact.py
+++ b/archhatch/control/contact.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from ..consensus import covers, members
+from ..consensus import is_quorum, members
 
 NO_VERSION = -1  # below the version of a register that was never changed, which is 0
 
@@ -60,7 +60,7 @@
 
         While a group changes, that is a majority of the old and of the new one.
         """
-        return covers({voter for voter in members(group) if voter == own_id or self.has_contact(voter, now)}, group)
+        return is_quorum({voter for voter in members(group) if voter == own_id or self.has_contact(voter, now)}, group)
 
     def newest_accepted(self, shard: str, voters: dict, now: float) -> int:
         """Returns the highest version that any of the voters in contact has accepted; NO_VERSION if none has."""
--- a/archhatch/simulation/planted_faults.py
+++ b/archhatch/simulation/planted_faults.py
@@ -116,16 +116,16 @@
 
 @plant("old-group-forgotten", "while the group changes, a majority of the old one must agree too")
 def _old_group_forgotten():
-    async def accept(self, state, must=()):
+    async def accept(self, state, required=()):
         def chosen(ids):
-            return group.majority(ids, state["voters"])
+            return group.is_majority(ids, state.voters)
 
-        targets = group.members(state) | group.members(self.state)
-        doc = {"ballot": self.prepared_number.to_wire(), "state": state}
+        targets = state.all_voters() | self.state.all_voters()
+        doc = {"part": self.shard, "ballot": self.prepared_number.to_wire(), "state": state.document}
         got = await self._poll(targets, "part.accept", doc, lambda g: chosen(set(g)))
-        if chosen({k for k, a in got.items() if a["ok"]}):
+        if chosen({k for k, a in got.items() if a.is_ok}):
             self.state, self.is_committed = state, True
-            self._publish(self.shard, state)
+            self._publish(self.shard, state.document)
             return True
         self.prepared_number, self.is_committed = None, False
         return False
@@ -177,7 +177,7 @@
 
 @plant("lost-race-acknowledged", "a change that no majority took is not acknowledged")
 def _lost_race_acknowledged():
-    yield mock.patch.object(proposer, "covers", lambda ids, state: bool(ids))
+    yield mock.patch.object(proposer, "is_quorum", lambda ids, state: bool(ids))
 
 
 @plant("snapshot-without-newest", "a rewritten log holds the newest accepted state")
--- a/archhatch/singleton_roles/register_host.py
+++ b/archhatch/singleton_roles/register_host.py
@@ -257,7 +257,7 @@
                 self.store.log.info("ledger {}: the group becomes {}", namespace, sorted(want))
             await proposer.reconfigure(want or {})
             if proposer.is_committed and proposer.state is not None:
-                self._learn(namespace, proposer.state)
+                self._learn(namespace, proposer.state.document)
         await self._publish_group(namespace)
 
     async def _publish_group(self, namespace: str) -> None:
--- a/benchmarks/thousand_changes.py
+++ b/benchmarks/thousand_changes.py
@@ -104,7 +104,7 @@
     assert (await proposer.reconfigure({})) and (await proposer.execute("plan.get", {}))[0] == 1000
     doc = {"Revision": changes + 1, "Upsert": {"RouteTable": [route(0, 7)]}}
     assert (await proposer.execute("plan.patch", {"doc": doc, "match": changes}))[0] == 1000
-    while voters["c"].acceptor.version < proposer.state["stamp"]:
+    while voters["c"].acceptor.version < proposer.state.version:
         await asyncio.sleep(0)
     print(f"the voter that was cut off: {behind} -> {voters['c'].acceptor.version} in {time.monotonic() - began:.3f} s")
     for voter in voters.values():
--- a/tests/consensus/test_consensus.py
+++ b/tests/consensus/test_consensus.py
@@ -7,7 +7,7 @@
 from tests.support.fakes import MemBook
 
 from archhatch.runtime import Counters
-from archhatch.consensus import Commands, Acceptor, Proposer, UnclearResultError, covers, majority
+from archhatch.consensus import Commands, Acceptor, Proposer, UnclearResultError, RegisterState, is_majority, is_quorum
 
 commands = Commands()
 
@@ -113,16 +113,16 @@
         ("a", "a", True),
     ],
 )
-def test_majority(ids, voters, ok):
-    assert majority(set(ids), dict.fromkeys(voters)) is ok
+def test_is_majority(ids, voters, ok):
+    assert is_majority(set(ids), dict.fromkeys(voters)) is ok
 
 
 @pytest.mark.parametrize(
     "ids, voters, prev, ok",
     [("ab", "abc", None, True), ("ab", "abd", "abc", True), ("bd", "abd", "abc", False), ("ac", "abd", "abc", False)],
 )
-def test_covers(ids, voters, prev, ok):
-    assert covers(set(ids), {"voters": dict.fromkeys(voters), "prev": dict.fromkeys(prev) if prev else None}) is ok
+def test_quorum_of_both_groups(ids, voters, prev, ok):
+    assert is_quorum(set(ids), {"voters": dict.fromkeys(voters), "prev": dict.fromkeys(prev) if prev else None}) is ok
 
 
 def test_put_get_and_a_lost_node(run):
@@ -256,15 +256,15 @@
         net.add("d", base=False)
         own = net.nodes["a"]["owner"]
         state = {
-            **own.state,
+            **own.state.document,
             "voters": {"a": "a", "b": "b", "d": "d"},
-            "prev": own.state["voters"],
-            "stamp": own.state["stamp"] + 1,
+            "prev": own.state.voters,
+            "stamp": own.state.version + 1,
         }
-        assert await own._accept(state)
+        assert await own._accept(RegisterState(state))
         net.cut = {"a"}
         assert await net.nodes["b"]["owner"].reconfigure({})
-        assert net.nodes["b"]["owner"].state["prev"] is None
+        assert net.nodes["b"]["owner"].state.previous_voters is None
         assert await net.do("b", "put", v=5, match=1) == (1000, 5)
 
     run(go())
@@ -274,9 +274,9 @@
     async def go():
         net = Net("abc")
         assert await net.do("a", "put", v=1) == (1000, 1)
-        stamp = net.nodes["a"]["owner"].state["stamp"]
+        stamp = net.nodes["a"]["owner"].state.version
         assert await net.do("b", "put", v=1) == (1000, 1)
-        assert net.nodes["b"]["owner"].state["stamp"] == stamp
+        assert net.nodes["b"]["owner"].state.version == stamp
 
     run(go())
 
@@ -336,7 +336,7 @@
 @pytest.mark.parametrize(
     "why, other, count",
     [
-        ("its answers are those of another life", lambda answer: {**answer, "me": "another"}, "part.other_life"),
+        ("its answers are those of another life", lambda answer: {**answer, "me": "another"}, "part.other_incarnation"),
         ("it promised a higher ballot since", lambda answer: {**answer, "ok": False, "promised": [99, "x"]}, None),
     ],
 )
@@ -346,17 +346,17 @@
         net.cut = {"c"}
         own = net.nodes["a"]["owner"]
         assert (await own.execute("put", {"v": 1}))[0] == 1000
-        ask = own._ask
+        ask = own._voters.ask
 
         async def turned(address, verb, doc):
             answer = await ask(address, verb, doc)
             return other(answer) if address == "b" and answer is not None else answer
 
-        own._ask = turned
+        own._voters.ask = turned
         with pytest.raises(UnclearResultError):
             await own.execute("put", {"v": 2})
         assert count is None or net.nodes["a"]["ctr"].counts[count] >= 1
-        own._ask = ask
+        own._voters.ask = ask
         assert await own.execute("put", {"v": 3}) == (1000, 3)
 
     run(go())
