--- a/archhatch/capacity/probes/control.py
+++ b/archhatch/capacity/probes/control.py
@@ -230,7 +230,7 @@
     seqs = itertools.count(1)
 
     def function():
-        reader.apply_answer({"life": "x", "turn": next(seqs), "cores": [], "parts": {}, "busy": {}, "roll": fresh})
+        reader.apply_answer(feed_answer(next(seqs), fresh))
 
     fresh = [entry(i) for i in range(n)]
     yield function, 1
@@ -244,12 +244,18 @@
     )
 
 
+def feed_answer(version: int, entries: list):
+    """An answer of the feed that brings entries of replicas and nothing else."""
+    document = {"life": "x", "turn": version, "cores": [], "parts": {}, "busy": {}, "roll": entries}
+    return need("membership", "FeedAnswer", "from_document").from_document(document)
+
+
 @probe("news.memory", "memory", "a roll in a reader of news", "replicas", (1000, 4000))
 async def _reader_memory(n):
     def function():
         reader = made_reader()
         raw = orjson.dumps([entry(i) for i in range(n)])
-        reader.apply_answer({"life": "x", "turn": 1, "cores": [], "parts": {}, "busy": {}, "roll": orjson.loads(raw)})
+        reader.apply_answer(feed_answer(1, orjson.loads(raw)))
         reader.take_changed_replicas()
         return reader
 
--- a/archhatch/membership/__init__.py
+++ b/archhatch/membership/__init__.py
@@ -1,17 +1,22 @@
-"""Who is there: the system's nodes, the services' replicas, and who watches whom."""
+"""Cluster membership: which nodes and replicas there are, when each was last heard, and the configuration feed."""
 
 from .config_watcher import ConfigWatcher
+from .feed_messages import FeedAnswer
 from .live_requests import LiveRequests
-from .peer_set import PeerSet
-from .rendezvous import choose, rank
-from .rendezvous import shard_of
+from .peer_set import NodeCard, PeerSet
+from .rendezvous import choose, rank, shard_of
+from .replica_entry import ReplicaEntry, ReplicaState
 from .replica_registry import ReplicaRegistry
 
 __all__ = [
     "ConfigWatcher",
+    "FeedAnswer",
     "LiveRequests",
+    "NodeCard",
     "PeerSet",
+    "ReplicaEntry",
     "ReplicaRegistry",
+    "ReplicaState",
     "choose",
     "rank",
     "shard_of",
--- a/archhatch/membership/agreed_time.py
+++ b/archhatch/membership/agreed_time.py
@@ -1,7 +1,7 @@
-"""Time of day on which nodes agree: the median, over the nodes that were heard, of what their clocks of the day show.
+"""A time of day on which nodes agree: the median of the wall clocks of the nodes that were heard.
 
-A single node's clock of the day may jump; the steady clock never does. So a node keeps, for each other one, how far
-that one's time of day is ahead of its own steady clock, and reads its steady clock plus the median of these.
+The wall clock of a single node may jump; the monotonic clock never does. So a node keeps, for each node, how far that
+node's wall clock is ahead of its own monotonic clock, and adds the median of these offsets to its monotonic clock.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class AgreedTime:
-    """Folds what other nodes' clocks show; now() is in seconds since the start of 1970.
+    """Combines the wall clocks of several nodes; times of day are in seconds since 1970-01-01T00:00Z.
 
     >>> time = AgreedTime()
     >>> time.record_clock("a", 1000.0, 10.0); time.record_clock("b", 1000.2, 10.0); time.record_clock("c", 5000.0, 10.0)
@@ -18,22 +18,22 @@
     1010.2
     """
 
-    def __init__(self):
-        self._ahead: dict[str, float] = {}
+    def __init__(self) -> None:
+        self._offsets_s: dict[str, float] = {}  # node id -> its wall clock minus this node's monotonic clock
 
-    def record_clock(self, node: str, wall: float, steady: float) -> None:
-        """A node's time of day was `wall` when this node's steady clock was at `steady`."""
-        self._ahead[node] = wall - steady
+    def record_clock(self, node_id: str, wall_time: float, now: float) -> None:
+        """Records that a node's wall clock showed `wall_time` when this node's monotonic clock showed `now`."""
+        self._offsets_s[node_id] = wall_time - now
 
-    def forget(self, node: str) -> None:
-        """A node is gone: its clock counts no more."""
-        self._ahead.pop(node, None)
+    def forget(self, node_id: str) -> None:
+        """Removes a node that has left, with its clock."""
+        self._offsets_s.pop(node_id, None)
 
     @property
     def is_known(self) -> bool:
-        """Whether any node's clock was heard."""
-        return bool(self._ahead)
+        """Whether any node's clock was recorded; without one there is no agreed time."""
+        return bool(self._offsets_s)
 
-    def at(self, steady: float) -> float:
-        """The agreed time of day at a point of this node's steady clock."""
-        return steady + median(self._ahead.values())
+    def at(self, now: float) -> float:
+        """Returns the agreed time of day when this node's monotonic clock shows `now`."""
+        return now + median(self._offsets_s.values())
--- a/archhatch/membership/config_sources.py
+++ b/archhatch/membership/config_sources.py
@@ -1,99 +1,130 @@
-"""What a reader of the news knows of the control nodes that it asks: who each is, and whether it is behind."""
+"""The control nodes that a reader of the configuration feed asks: who each is, and which one to ask next."""
 
 from __future__ import annotations
 
 import enum
 from dataclasses import dataclass, field
 
-MOST_PATIENCE = 8  # the longest pause between fruitless rounds over all sources, in first pauses
+MAX_PAUSE_FACTOR = 8  # the longest pause between fruitless rounds over all sources, as a multiple of the first one
+NEVER = float("-inf")
 
 
 class Verdict(enum.Enum):
     """What an answer shows of its source."""
 
-    GOOD = "good"
-    BEHIND = "behind"  # it holds less than the reader has
-    LAGGING = "lagging"  # it brings nothing new, though a newer version has been told of
-    OLD_LIFE = "old_life"  # the answer is that of a life which has ended: it must not be folded
+    CURRENT = "current"
+    BEHIND = "behind"  # it has an older version than the reader
+    LAGGING = "lagging"  # it gave nothing new, though a newer version is known to exist
+    ENDED = "ended"  # the answer is from an incarnation that has ended, and must not be applied
 
 
-@dataclass
+@dataclass(slots=True)
 class _Source:
-    node: str = ""  # its id, if its answers give one
+    """A control node, by the answers that came from its address."""
+
+    node_id: str = ""  # empty if it does not send its id, or if another node may be there now
     incarnation: str = ""
-    ended: set = field(default_factory=set)  # lives that newer ones followed
+    ended_incarnations: set[str] = field(default_factory=set)
 
 
 class ConfigSources:
-    """Judges answers; says when a source is to be left, which is at most once each until all had their turn.
+    """Judges answers and chooses the next source.
+
+    A reader leaves a source that is behind or lagging. Once it has left each, it stays with one for a pause that
+    doubles with each fruitless round, so that readers do not run in circles while no source has the newest version.
+
+    Attributes:
+        first_pause_s: The first such pause, in seconds.
+        newest_versions: The newest version of each shard of which any source has told.
 
-    >>> s = ConfigSources(1.0); s.heed("a", {"life": "x", "newest": {"plan": 3}}), s.judge({"plan": 5}, {}, {"plan": 3})
-    (True, <Verdict.BEHIND: 'behind'>)
+    >>> sources = ConfigSources(1.0); sources.record_answer("a", "x", "n1")
+    True
+    >>> sources.judge({"plan": 5}, {}, {"plan": 3})
+    <Verdict.BEHIND: 'behind'>
     """
 
-    def __init__(self, pause_s: float):
-        self.pause_s = pause_s
-        self.told: dict[str, int] = {}  # part -> the newest version that any source told of
+    def __init__(self, first_pause_s: float) -> None:
+        self.first_pause_s = first_pause_s
+        self.newest_versions: dict[str, int] = {}
         self._sources: dict[str, _Source] = {}
-        self._left: set = set()  # sources that disappointed, since the last that did not
-        self._rounds = 0
-        self._patient_until = float("-inf")
+        self._left: set[str] = set()  # sources that were left, since the last one that was current
+        self._fruitless_rounds = 0
+        self._stay_until = NEVER
 
-    def node(self, address: str) -> str:
-        """The id of the node at an address, empty if it is not known."""
+    def node_id(self, address: str) -> str:
+        """Returns the id of the node at an address; empty if it is not known."""
         source = self._sources.get(address)
-        return source.node if source is not None else ""
+        return source.node_id if source is not None else ""
 
-    def forget(self, address: str) -> None:
-        """Another node is at this address now; whichever it is, it may be asked."""
+    def forget_node(self, address: str) -> None:
+        """Forgets which node is at an address, after another one answered there."""
         source = self._sources.get(address)
         if source is not None:
-            source.node = ""
+            source.node_id = ""
 
-    def heed(self, address: str, doc: dict) -> bool:
-        """Whether an answer may be folded: not if it comes from a life of its source that has ended."""
+    def record_answer(self, address: str, incarnation: str, node_id: str) -> bool:
+        """Records who answered at an address.
+
+        Returns:
+            False if the answer is from an incarnation that a newer one has followed: it must not be applied.
+        """
         source = self._sources.setdefault(address, _Source())
-        if doc["life"] in source.ended:
+        if incarnation in source.ended_incarnations:
             return False
-        if source.incarnation and source.incarnation != doc["life"]:
-            source.ended.add(source.incarnation)
-        source.incarnation, source.node = doc["life"], doc.get("id", "")
+        if source.incarnation and source.incarnation != incarnation:
+            source.ended_incarnations.add(source.incarnation)
+        source.incarnation = incarnation
+        source.node_id = node_id
         return True
 
-    def judge(self, held: dict, told_before: dict, newest: dict) -> Verdict:
-        """What an answer shows once it is folded: held are the reader's versions now, told_before what had been told of
-        when it asked, newest what the answer says that its node has heard of."""
-        fresh = {shard: version for shard, version in newest.items() if version > self.told.get(shard, 0)}
-        if fresh:
-            self.told.update(fresh)
-            self._rounds, self._patient_until = 0, float("-inf")
+    def judge(self, held: dict[str, int], newest_before: dict[str, int], newest: dict[str, int]) -> Verdict:
+        """Judges the source of an answer that was applied, and records the versions of which it told.
+
+        Args:
+            held: The versions that the reader has now.
+            newest_before: The newest versions known when the reader asked.
+            newest: The newest versions known to the source.
+        """
+        unheard = {shard: version for shard, version in newest.items() if version > self.newest_versions.get(shard, 0)}
+        if unheard:
+            self.newest_versions.update(unheard)
+            self._fruitless_rounds = 0
+            self._stay_until = NEVER
         if any(version < held.get(shard, 0) for shard, version in newest.items()):
             return Verdict.BEHIND
-        if self.lags(held, told_before):
+        if _is_outdated(held, newest_before):
             return Verdict.LAGGING
-        return Verdict.GOOD
-
-    def lags(self, held: dict, told: dict | None = None) -> bool:
-        """Whether a newer version than the held one has been told of."""
-        return any(version > held.get(shard, 0) for shard, version in (self.told if told is None else told).items())
-
-    def hurried(self, held: dict, now: float) -> bool:
-        """Whether the next question should wait only briefly: something newer is out, and not all were asked for it."""
-        return now >= self._patient_until and self.lags(held)
-
-    def next_after(self, verdict: Verdict, addrs: list, address: str, now: float) -> str:
-        """The address to ask next."""
-        if verdict is Verdict.GOOD:
+        return Verdict.CURRENT
+
+    def should_hurry(self, held: dict[str, int], now: float) -> bool:
+        """Whether the next query should wait only briefly: a newer version exists, and not all sources were asked."""
+        return now >= self._stay_until and _is_outdated(held, self.newest_versions)
+
+    def choose_next(self, verdict: Verdict, addresses: list[str], address: str, now: float) -> str:
+        """Chooses the address to ask next.
+
+        Args:
+            verdict: The verdict on the last answer.
+            addresses: All addresses, in the order in which they are asked.
+            address: The one that gave the last answer.
+            now: The monotonic clock.
+        """
+        if verdict is Verdict.CURRENT:
             self._left.clear()
             return address
-        if now < self._patient_until:
+        if now < self._stay_until:
             return address
         self._left.add(address)
-        at = addrs.index(address) if address in addrs else 0
-        for other in addrs[at + 1 :] + addrs[:at]:
+        index = addresses.index(address) if address in addresses else 0
+        for other in addresses[index + 1 :] + addresses[:index]:
             if other not in self._left:
                 return other
-        self._left.clear()  # none does better: stay a while, each time longer
-        self._patient_until = now + self.pause_s * min(MOST_PATIENCE, 2**self._rounds)
-        self._rounds += 1
+        self._left.clear()
+        self._stay_until = now + self.first_pause_s * min(MAX_PAUSE_FACTOR, 2**self._fruitless_rounds)
+        self._fruitless_rounds += 1
         return address
+
+
+def _is_outdated(held: dict[str, int], newest: dict[str, int]) -> bool:
+    """Whether a newer version than the held one is known to exist."""
+    return any(version > held.get(shard, 0) for shard, version in newest.items())
--- a/archhatch/membership/config_watcher.py
+++ b/archhatch/membership/config_watcher.py
@@ -1,199 +1,297 @@
-"""The asking side of the news: a node asks a control node with its versions, and is answered when there is more."""
+"""The reader of the configuration feed.
+
+A node asks a control node for what is newer than its versions, and again as soon as it has the answer.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import random
 from collections import deque
+from collections.abc import Callable
+from typing import Any, Protocol
 
-from ..rpc import CallError, is_misdirected
-from .delta import apply_all
+from ..rpc import CallError, ConnectionPool, is_misdirected
+from ..runtime import Clock, Counters, Settings, StateBoard
 from .config_sources import ConfigSources, Verdict
+from .delta import apply_all
+from .feed_messages import FeedAnswer, FeedQuery, ShardUpdate
+from .peer_set import NodeCard
+from .replica_entry import DRAINING, GONE, UP, ReplicaEntry
+
+DONE = 1000
+NO_CONFIGURATION = 3001
+NO_MAJORITY = 3003
+
+WALL_TIMES_KEPT = 4  # answers whose time of day is compared
+HOLD_RATIO = 1 / 3  # of ContactMs: how long a control node may hold a query that it has nothing new for
+GRACE_RATIO = 0.2  # of ContactMs: how much longer than the hold an answer may take
+HURRY_RATIO = 0.125  # of the usual hold, while a newer version is known to exist
+MIN_RETRY_DELAY_S = 0.02  # after a source that gave no answer; drawn at random, so that readers do not come in waves
+MAX_RETRY_DELAY_S = 0.06
+COMMAND_TIMEOUT_S = 1.5
+COMMAND_ROUNDS = 2  # how often all control nodes are tried for a command
+NEVER = float("-inf")
+
+
+class LiveRequestTally(Protocol):
+    """Counts the live requests of this node."""
 
-NO_MAJORITY, NO_CONFIGURATION, DONE = 3003, 3001, 1000
-TIMES_KEPT = 4  # answers whose time of day is compared
-HURRY = 0.125  # of its usual time a question waits while a newer version is known to be out
+    def tally(self) -> dict[str, float]:
+        """Returns the live requests in progress, by service."""
 
 
 class ConfigWatcher:
-    """Keeps the newest parts and the roll in hand; never goes back in one life.
+    """Holds the newest shards and replica entries; within one process neither ever goes back to an older version.
 
-    >>> # reader = ConfigWatcher(settings, card, lines, state_board, clock, counters); await reader.run()
+    Attributes:
+        card: Who this node is.
+        addresses: Addresses of control nodes, in the order in which they are asked.
+        source_index: The index of the address that is asked at present.
+        versions: The version of each shard.
+        shards: The value of each shard.
+        replicas: The entry of each replica, by id.
+        live_totals: The live requests in progress on all edges, by service.
+        incarnation: The incarnation of the control node that gave the last answer.
+        registry_version: That control node's version of the replica registry.
+        applied_at: When the last answer was applied.
+        confirmed_at: When the last query was sent whose answer came from a current source.
+        plan: The routing table that the node made of the shard "plan"; set by the node.
+        live: Counts the live requests of this node; set by a node that takes some.
+        successes_by_zone: Returns successful answers of replicas by zone, as the feed sends them; set by the node.
     """
 
-    def __init__(self, settings, card, lines, state_board, clock, counters):
-        self.settings, self.card, self.connections = settings, card, lines
-        self.state_board, self.clock, self.counters = state_board, clock, counters
-        self.port = settings.internal_ports[0]
-        self.addrs = [f"{s.rsplit(':', 1)[0]}:{self.port}" for s in settings.seed_peers]
-        random.shuffle(self.addrs)
+    def __init__(
+        self,
+        settings: Settings,
+        card: NodeCard,
+        connections: ConnectionPool,
+        state_board: StateBoard,
+        clock: Clock,
+        counters: Counters,
+    ) -> None:
+        self.card = card
+        self.connections = connections
+        self.state_board = state_board
+        self.clock = clock
+        self.counters = counters
+        port = settings.internal_ports[0]
+        self.addresses = [f"{peer.rsplit(':', 1)[0]}:{port}" for peer in settings.seed_peers]
+        random.shuffle(self.addresses)
+        self.source_index = 0
         self.versions: dict[str, int] = {}
-        self.shards: dict[str, dict] = {}
-        self.replicas: dict[str, dict] = {}
-        self.incarnation, self.registry_version = "", 0
-        self.fresh_at = float("-inf")
-        self.confirmed_at = float("-inf")  # when the last question was asked whose answer a serving node gave
-        self._time_ahead: deque[float] = deque(maxlen=TIMES_KEPT)
-        self._failed = False  # whether the last question had no answer
-        self.hold_s = settings.seconds("ContactMs", 1 / 3)
-        self.grace_s = settings.seconds("ContactMs", 0.2)  # how much longer than the question waits an answer may take
+        self.shards: dict[str, Any] = {}
+        self.replicas: dict[str, ReplicaEntry] = {}
+        self.live_totals: dict[str, float] = {}
+        self.incarnation = ""
+        self.registry_version = 0
+        self.applied_at = NEVER
+        self.confirmed_at = NEVER
+        self.hold_s = settings.seconds("ContactMs", HOLD_RATIO)
+        self.grace_s = settings.seconds("ContactMs", GRACE_RATIO)
         self.sources = ConfigSources(self.hold_s)
-        self.at = 0
-        self.mine: list = []
-        self.plan = None
-        self.live = None
-        self.live_totals: dict = {}
-        self.successes_by_zone = (
-            None  # gives the answers that came from replicas, by zone, while a placement policy is set
-        )
+        self.plan: Any = None
+        self.live: LiveRequestTally | None = None
+        self.successes_by_zone: Callable[[float], list] | None = None
+        self._changed_replicas: list[ReplicaEntry] = []
+        self._wall_offsets_s: deque[float] = deque(maxlen=WALL_TIMES_KEPT)
+        self._has_failed = False  # whether the last query had no answer
+
+    def agreed_time(self, now: float) -> float | None:
+        """Returns the agreed time of day when this node's monotonic clock shows `now`.
 
-    def agreed_time(self, steady: float) -> float | None:
-        """The time of day, in seconds since 1970, at a point of this node's steady clock; None before the first news.
+        An answer that was delayed on its way shows a time that is behind, so the least delayed of the last ones counts.
 
-        An answer that was long on its way shows a time that is behind; the least delayed of the last ones counts.
+        Returns:
+            Seconds since 1970-01-01T00:00Z, or None before the first answer.
         """
-        return steady + max(self._time_ahead) if self._time_ahead else None
+        return now + max(self._wall_offsets_s) if self._wall_offsets_s else None
 
-    def source_addresses(self) -> list:
-        """The addresses of control nodes, the present source first."""
-        return self.addrs[self.at :] + self.addrs[: self.at]
+    def source_addresses(self) -> list[str]:
+        """Returns the addresses of control nodes, the present source first."""
+        return self.addresses[self.source_index :] + self.addresses[: self.source_index]
 
     async def run(self) -> None:
-        """Ask, one question after the other."""
+        """Sends one query after the other, for ever."""
         while True:
-            self._failed = not await self.ask_once()
-            if self._failed:
-                self.counters.add("news.refused")
-                self.at = (self.at + 1) % len(self.addrs)
-                await asyncio.sleep(random.uniform(0.02, 0.06))
+            self._has_failed = not await self.ask_once()
+            if self._has_failed:
+                self.counters.add("config.no_answer")
+                self.source_index = (self.source_index + 1) % len(self.addresses)
+                await asyncio.sleep(random.uniform(MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S))
 
     async def ask_once(self) -> bool:
-        """Ask the present source and take up its answer; False if it gave none."""
-        address, asked = self.addrs[self.at % len(self.addrs)], self.clock.now()
-        hurry = self._failed or self.sources.hurried(self.versions, asked)
-        hold = self.hold_s * (HURRY if hurry else 1.0)
-        told = dict(self.sources.told)
+        """Sends a query to the present source and applies its answer; returns False if it gave none."""
+        address = self.addresses[self.source_index % len(self.addresses)]
+        asked_at = self.clock.now()
+        should_hurry = self._has_failed or self.sources.should_hurry(self.versions, asked_at)
+        hold_s = self.hold_s * (HURRY_RATIO if should_hurry else 1.0)
+        newest_before = dict(self.sources.newest_versions)
         try:
-            code, doc, _ = await self.call(address, "news", self._question(hold, asked), hold + self.grace_s)
+            query = self._query(hold_s, asked_at).to_document()
+            code, document, _ = await self.call(address, "news", query, hold_s + self.grace_s)
         except CallError:
             return False
         if code != DONE:
             return False
-        if self.clock.now() - asked > hold + self.grace_s:
-            self.counters.add("news.asked_anew")  # this node stood still: the answer waited for it, and is old
+        if self.clock.now() - asked_at > hold_s + self.grace_s:
+            # This node was suspended: the answer waited for it, and may be outdated by now.
+            self.counters.add("config.answer_outdated")
             return True
-        if self.accept_answer(address, doc, told) is Verdict.GOOD:
-            self.confirmed_at = max(self.confirmed_at, asked)
+        if self.accept_answer(address, document, newest_before) is Verdict.CURRENT:
+            self.confirmed_at = max(self.confirmed_at, asked_at)
         return True
 
-    def _question(self, hold: float, now: float) -> dict:
-        served = self.successes_by_zone(now) if self.successes_by_zone is not None else []
-        doc = {
-            "live": self.live.tally() if self.live is not None else {},
-            "busy": sorted(self.live_totals),
-            "who": self.card,
-            "stamps": self.versions,
-            "life": self.incarnation,
-            "turn": self.registry_version,
-            "hold": hold,
-        }
-        if served:
-            doc["served"] = served
-        return doc
-
-    def accept_answer(self, address: str, doc: dict, told: dict) -> Verdict:
-        """Fold an answer of a source, unless it is one of an ended life; leave the source if it is behind. What the
-        answer shows of its source.
-
-        told: the newest versions that had been told of when the question was asked.
+    def _query(self, hold_s: float, now: float) -> FeedQuery:
+        return FeedQuery(
+            successes=self.successes_by_zone(now) if self.successes_by_zone is not None else [],
+            live=self.live.tally() if self.live is not None else {},
+            busy_services=sorted(self.live_totals),
+            card=self.card,
+            versions=self.versions,
+            incarnation=self.incarnation,
+            registry_version=self.registry_version,
+            hold_s=hold_s,
+        )
+
+    def accept_answer(self, address: str, document: dict, newest_before: dict[str, int]) -> Verdict:
+        """Applies an answer, unless it is from an ended incarnation, and leaves its source if that is behind.
+
+        Args:
+            address: The source.
+            document: Its answer.
+            newest_before: The newest versions known when the query was sent.
+
+        Returns:
+            What the answer shows of its source.
         """
-        verdict = Verdict.OLD_LIFE
-        if self.sources.heed(address, doc):
-            newest = {**{shard: got["stamp"] for shard, got in doc["parts"].items()}, **(doc.get("newest") or {})}
-            self.apply_answer(doc)
-            verdict = self.sources.judge(self.versions, told, newest)
-        if verdict is not Verdict.GOOD:
-            self.counters.add(f"news.{verdict.value}")
-        after = self.sources.next_after(verdict, self.addrs, address, self.clock.now())
-        if after in self.addrs:
-            self.at = self.addrs.index(after)
+        answer = FeedAnswer.from_document(document)
+        verdict = Verdict.ENDED
+        if self.sources.record_answer(address, answer.incarnation, answer.node_id):
+            newest = {shard: update.version for shard, update in answer.shards.items()}
+            newest.update(answer.newest_versions or {})
+            self.apply_answer(answer)
+            verdict = self.sources.judge(self.versions, newest_before, newest)
+        if verdict is not Verdict.CURRENT:
+            self.counters.add(f"config.source_{verdict.value}")
+        next_address = self.sources.choose_next(verdict, self.addresses, address, self.clock.now())
+        if next_address in self.addresses:
+            self.source_index = self.addresses.index(next_address)
         return verdict
 
-    async def call(self, address: str, verb: str, doc: dict, timeout_s: float):
-        """Call a control node by its id, where it is known; one that is another by now is asked again without."""
-        node = self.sources.node(address)
-        out = await self.connections.to(address).call(verb, doc, timeout_s=timeout_s, to=node)
-        if node and is_misdirected(*out[:2]):
-            self.counters.add("news.other_node")
-            self.sources.forget(address)
-        return out
-
-    def apply_answer(self, doc: dict) -> None:
-        """Take up one answer."""
-        self.fresh_at = self.clock.now()
-        if doc.get("time") is not None:
-            self._time_ahead.append(doc["time"] - self.fresh_at)
-        self.incarnation, self.registry_version = doc["life"], doc["turn"]
-        here = self.addrs[self.at % len(self.addrs)]
-        known = [a for a in doc["cores"]]
-        if known:
-            self.addrs = list(dict.fromkeys(known + ([here] if here not in known else [])))
-            self.at = self.addrs.index(here)
-        changed = False
-        for shard, got in doc["parts"].items():
-            changed = self._fold_part(shard, got) or changed
-        if doc["busy"] != self.live_totals:
-            self.live_totals = doc["busy"]
+    async def call(self, address: str, verb: str, document: dict, timeout_s: float) -> tuple[int, Any, bytes]:
+        """Calls a control node, by its id where that is known.
+
+        If another node is at the address by now, its id is forgotten, so that the next call there succeeds.
+
+        Returns:
+            The result code, the document and the body of the answer.
+
+        Raises:
+            CallError: No answer came.
+        """
+        node_id = self.sources.node_id(address)
+        answer = await self.connections.to(address).call(verb, document, timeout_s=timeout_s, to=node_id)
+        code, result, _ = answer
+        if node_id and is_misdirected(code, result):
+            self.counters.add("config.other_node")
+            self.sources.forget_node(address)
+        return answer
+
+    def apply_answer(self, answer: FeedAnswer) -> None:
+        """Applies an answer and announces what changed on the state board, as "work", "roll" and "parts"."""
+        self.applied_at = self.clock.now()
+        if answer.wall_time is not None:
+            self._wall_offsets_s.append(answer.wall_time - self.applied_at)
+        self.incarnation = answer.incarnation
+        self.registry_version = answer.registry_version
+        self._update_addresses(answer.addresses)
+        has_new_shards = False
+        for shard, update in answer.shards.items():
+            has_new_shards = self._apply_shard(shard, update) or has_new_shards
+        if answer.live_totals != self.live_totals:
+            self.live_totals = answer.live_totals
             self.state_board.notify("work")
-        fresh = []
-        for entry in doc["roll"]:
-            old = self.replicas.get(entry["id"])
-            if old is not None and (
-                old["state"] == "gone"
-                or (old["state"] == "draining" and entry["state"] == "up")
-                or (entry["seq"] < old["seq"] and entry["state"] == old["state"])
-            ):
-                self.counters.add("news.late_entry")
-                continue
-            self.replicas[entry["id"]] = entry
-            fresh.append(entry)
-        if fresh:
-            self.mine.extend(fresh)
-            self.state_board.notify("roll")
+        changed = self._apply_replicas(answer.replicas)
         if changed:
+            self._changed_replicas.extend(changed)
+            self.state_board.notify("roll")
+        if has_new_shards:
             self.state_board.notify("parts")
 
-    def _fold_part(self, shard: str, got: dict) -> bool:
-        """Take up a register, whole or as the changes since the version that this node has; whether it is newer."""
-        held = self.versions.get(shard, 0)
-        if got["stamp"] <= held:
-            self.counters.add("news.late_part")
+    def _update_addresses(self, addresses: list[str]) -> None:
+        """Takes over the addresses that a control node sent; keeps the present source, as it is known to answer."""
+        if not addresses:
+            return
+        source = self.addresses[self.source_index % len(self.addresses)]
+        self.addresses = list(dict.fromkeys(addresses + ([source] if source not in addresses else [])))
+        self.source_index = self.addresses.index(source)
+
+    def _apply_replicas(self, entries: list[ReplicaEntry]) -> list[ReplicaEntry]:
+        """Takes over entries, and returns those that were not older than the known ones, as a lagging node sends them.
+
+        A replica never comes back from draining or from being gone.
+        """
+        replicas = self.replicas
+        changed = []
+        for entry in entries:
+            known = replicas.get(entry["id"])
+            if known is not None:
+                known_state = known["state"]
+                has_left = known_state == GONE or (known_state == DRAINING and entry["state"] == UP)
+                if has_left or (entry["seq"] < known["seq"] and entry["state"] == known_state):
+                    self.counters.add("config.late_replica")
+                    continue
+            replicas[entry["id"]] = entry
+            changed.append(entry)
+        return changed
+
+    def _apply_shard(self, shard: str, update: ShardUpdate) -> bool:
+        """Takes over a shard, whole or by its changes; returns whether this node's version is newer now."""
+        held_version = self.versions.get(shard, 0)
+        if update.version <= held_version:
+            self.counters.add("config.late_shard")
             return False
-        if "changes" not in got:
-            value = got["val"]
-        elif got["base"] == held:
-            value = apply_all(self.shards[shard], got["changes"])
+        if update.changes is None:
+            value = update.value
+        elif update.base == held_version:
+            value = apply_all(self.shards[shard], update.changes)
         else:
-            self.counters.add("news.other_base")  # the next question names the version that is held
+            # The changes are for another version; the next query names the one that this node has.
+            self.counters.add("config.other_base")
             return False
-        self.versions[shard], self.shards[shard] = got["stamp"], value
+        self.versions[shard] = update.version
+        self.shards[shard] = value
         return True
 
-    def take_changed_replicas(self) -> list:
-        """Entries that came since the last call."""
-        out, self.mine = self.mine, []
-        return out
+    def take_changed_replicas(self) -> list[ReplicaEntry]:
+        """Returns the entries that came since the last call."""
+        changed = self._changed_replicas
+        self._changed_replicas = []
+        return changed
 
-    async def run_command(self, shard: str, name: str, args: dict, timeout_s: float = 1.5):
-        """Run a command on a part, through any control node: (code, document)."""
-        for _ in range(2):
+    async def run_command(
+        self, shard: str, name: str, args: dict, timeout_s: float = COMMAND_TIMEOUT_S
+    ) -> tuple[int, Any]:
+        """Runs a command on a shard's register, through any control node that can.
+
+        Args:
+            shard: The shard.
+            name: The command.
+            args: Its arguments.
+            timeout_s: Seconds that each control node is given.
+
+        Returns:
+            The result code and the document of the answer; NO_MAJORITY without a document if no control node could
+            run it.
+        """
+        command = {"part": shard, "name": name, "args": args}
+        for _ in range(COMMAND_ROUNDS):
             for address in self.source_addresses():
                 try:
-                    code, doc, _ = await self.call(
-                        address, "do", {"part": shard, "name": name, "args": args}, timeout_s
-                    )
+                    code, document, _ = await self.call(address, "do", command, timeout_s)
                 except CallError:
                     continue
-                if code not in (NO_CONFIGURATION, NO_MAJORITY) and not is_misdirected(code, doc):
-                    return code, doc
+                if code not in (NO_CONFIGURATION, NO_MAJORITY) and not is_misdirected(code, document):
+                    return code, document
         return NO_MAJORITY, None
--- a/archhatch/membership/delta.py
+++ b/archhatch/membership/delta.py
@@ -1,4 +1,4 @@
-"""Differences between two versions of a JSON document: what a feed sends to a reader that has the older one.
+"""Differences between two versions of a JSON document: what the feed sends to a reader that has the older one.
 
 A change is one of
 
@@ -12,12 +12,13 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import Any, TypeGuard
 
-NAME = "Name"
+NAME = "Name"  # the key that identifies a row
 
 
 def diff(old: object, new: object) -> dict | None:
-    """The change that makes `new` of `old`; None if they are equal.
+    """Returns the change that turns `old` into `new`; None if they are equal.
 
     >>> diff({"a": 1, "b": {"c": 2}}, {"b": {"c": 3}})
     {'in': {'b': {'in': {'c': {'is': 3}}, 'drop': []}}, 'drop': ['a']}
@@ -37,8 +38,8 @@
     return {"is": new}
 
 
-def apply(old: object, change: dict) -> object:
-    """The newer document; the older one stays as it is, and the two share what did not change.
+def apply(old: Any, change: dict) -> Any:  # noqa: ANN401 - any JSON
+    """Returns the newer document; the older one stays as it is, and the two share what did not change.
 
     >>> apply({"a": 1}, {"in": {"b": {"is": 2}}, "drop": ["a"]}), apply([{"Name": "x"}], {"rows": [], "drop": ["x"]})
     ({'b': 2}, [])
@@ -46,17 +47,17 @@
     if "is" in change:
         return change["is"]
     if "in" in change:
-        out = {key: value for key, value in old.items() if key not in change["drop"]}
+        members = {key: value for key, value in old.items() if key not in change["drop"]}
         for key, inner in change["in"].items():
-            out[key] = apply(out.get(key), inner)
-        return out
+            members[key] = apply(members.get(key), inner)
+        return members
     rows = {row[NAME]: row for row in old if row[NAME] not in change["drop"]}
     rows.update({row[NAME]: row for row in change["rows"]})
     return list(rows.values())
 
 
-def apply_all(old: object, changes: Iterable[dict]) -> object:
-    """The document after several changes, the oldest first.
+def apply_all(old: Any, changes: Iterable[dict]) -> Any:  # noqa: ANN401 - any JSON
+    """Returns the document after several changes, the oldest first.
 
     >>> apply_all({"a": 1}, [{"in": {"a": {"is": 2}}, "drop": []}, {"in": {"b": {"is": 3}}, "drop": []}])
     {'a': 2, 'b': 3}
@@ -67,6 +68,7 @@
 
 
 def _diff_members(old: dict, new: dict) -> dict:
+    """Returns the change between two objects."""
     changed = {}
     for key, value in new.items():
         change = {"is": value} if key not in old else diff(old[key], value)
@@ -75,7 +77,8 @@
     return {"in": changed, "drop": [key for key in old if key not in new]}
 
 
-def _diff_rows(old: list, new: list) -> dict:
+def _diff_rows(old: list[dict], new: list[dict]) -> dict:
+    """Returns the change between two lists of named rows; it loses their order, so the caller must check it."""
     before = {row[NAME]: row for row in old}
     names = {row[NAME] for row in new}
     return {
@@ -84,8 +87,8 @@
     }
 
 
-def _is_table(value: object) -> bool:
-    """Whether a value is a list of objects with a name each, all names different."""
+def _is_table(value: object) -> TypeGuard[list[dict]]:
+    """Whether a value is a list of objects with a name each, and all names differ."""
     if not isinstance(value, list) or not all(isinstance(row, dict) for row in value):
         return False
     names = [row.get(NAME) for row in value]
--- a/archhatch/membership/live_requests.py
+++ b/archhatch/membership/live_requests.py
@@ -1,56 +1,64 @@
-"""The live requests under way, summed by service, for as long as the words of those who tell of them are fresh."""
+"""Live requests in progress, summed by service over all edges, as long as the reports are fresh."""
 
 from __future__ import annotations
 
+NEVER = float("-inf")
+
 
 class LiveRequests:
-    """Words of edges, and of other control nodes for the edges that speak to them; busy() sums those of the last
-    window.
+    """Reports of edges, and of other control nodes for the edges that report to them; old ones expire.
+
+    Attributes:
+        window_s: Seconds for which a report counts.
 
     >>> live = LiveRequests(2.0); live.record_edge("e1", {"s": 2}, 10.0); live.record_edge("e2", {"s": 1}, 11.0)
     >>> live.totals(11.5), live.totals(12.5)
     ({'s': 3}, {'s': 1})
     """
 
-    def __init__(self, window_s: float):
+    def __init__(self, window_s: float) -> None:
         self.window_s = window_s
-        self._words: dict[tuple, tuple] = {}  # (edge, service) -> (when, how many)
-        self._sums: dict[str, tuple] = {}  # control node -> (when, service -> how many)
+        self._edge_reports: dict[tuple[str, str], tuple[float, float]] = {}  # (edge, service) -> (when, how many)
+        self._node_reports: dict[str, tuple[float, dict[str, float]]] = {}  # control node -> (when, by service)
 
-    def record_edge(self, edge: str, live: dict, at: float) -> None:
-        """An edge's word, heard here at a time; an older one of the same service does not undo a newer one."""
-        for svc, n in live.items():
-            if n and at >= self._words.get((edge, svc), (float("-inf"), 0))[0]:
-                self._words[edge, svc] = (at, n)
+    def record_edge(self, edge_id: str, live: dict[str, float], now: float) -> None:
+        """Records what an edge has in progress, by service; ignores services for which a newer report is known."""
+        for service, count in live.items():
+            if count and now >= self._edge_reports.get((edge_id, service), (NEVER, 0))[0]:
+                self._edge_reports[edge_id, service] = (now, count)
 
-    def record_node(self, node: str, live: dict, at: float) -> None:
-        """What the edges that speak to another control node have under way, all together; it replaces that node's last
-        word.
+    def record_node(self, node_id: str, live: dict[str, float], now: float) -> None:
+        """Records what the edges that report to another control node have in progress, all together.
+
+        Replaces that node's last report, unless that is newer.
 
         >>> live = LiveRequests(2.0); live.record_node("c", {"s": 2}, 1.0); live.record_node("c", {"t": 1}, 1.5)
         >>> live.totals(2.0), live.edge_totals(2.0)
         ({'t': 1}, {})
         """
-        if at >= self._sums.get(node, (float("-inf"), {}))[0]:
-            self._sums[node] = (at, live)
-
-    def edge_totals(self, now: float) -> dict:
-        """The sum of what edges said here, for other control nodes: its size is that of the services, not the edges."""
-        out: dict = {}
-        for key, (at, n) in list(self._words.items()):
-            if now - at > self.window_s:
-                del self._words[key]
+        if now >= self._node_reports.get(node_id, (NEVER, {}))[0]:
+            self._node_reports[node_id] = (now, live)
+
+    def edge_totals(self, now: float) -> dict[str, float]:
+        """Returns the sums by service of what edges reported here, and drops expired reports.
+
+        This is what other control nodes are sent: it grows with the services, not with the edges.
+        """
+        totals: dict[str, float] = {}
+        for (edge_id, service), (reported_at, count) in list(self._edge_reports.items()):
+            if now - reported_at > self.window_s:
+                del self._edge_reports[edge_id, service]
             else:
-                out[key[1]] = out.get(key[1], 0) + n
-        return out
-
-    def totals(self, now: float) -> dict:
-        """Services with live requests, and how many."""
-        out = self.edge_totals(now)
-        for node, (at, live) in list(self._sums.items()):
-            if now - at > self.window_s:
-                del self._sums[node]
+                totals[service] = totals.get(service, 0) + count
+        return totals
+
+    def totals(self, now: float) -> dict[str, float]:
+        """Returns the services with live requests and how many each has, over all reports."""
+        totals = self.edge_totals(now)
+        for node_id, (reported_at, live) in list(self._node_reports.items()):
+            if now - reported_at > self.window_s:
+                del self._node_reports[node_id]
                 continue
-            for svc, n in live.items():
-                out[svc] = out.get(svc, 0) + n
-        return out
+            for service, count in live.items():
+                totals[service] = totals.get(service, 0) + count
+        return totals
--- /dev/null
+++ b/archhatch/membership/replica_entry.py
@@ -0,0 +1,71 @@
+"""What is known of one replica, as it is spread among control nodes and sent to readers.
+
+Entries stay dictionaries: they are decoded from JSON, kept by the ten thousand and encoded again on every control
+node, edge and store, where an object for each would cost memory and a conversion at every hop. `ReplicaEntry` names
+their keys for the type checker and costs nothing at run time.
+"""
+
+from __future__ import annotations
+
+import enum
+from typing import Any, NotRequired, TypedDict, final
+
+
+class ReplicaState(enum.StrEnum):
+    """How a replica takes part; it only ever moves down this list."""
+
+    UP = "up"
+    DRAINING = "draining"  # finishes what it has and takes nothing new
+    GONE = "gone"  # kept for a while, so that a late heartbeat does not bring it back
+
+
+# The values as they stand in entries. Plain strings, since the comparison runs for each heartbeat, and reading the
+# value of an enum's member takes longer than comparing it.
+UP = ReplicaState.UP.value
+DRAINING = ReplicaState.DRAINING.value
+GONE = ReplicaState.GONE.value
+
+
+class ReplicaEntry(TypedDict):
+    """The last heartbeat of a replica; the keys are those on the wire.
+
+    Attributes:
+        id: The replica's id; a restarted replica has a new one.
+        state: A value of ReplicaState.
+        seq: The sequence number of its heartbeats.
+        addr: Its address as IP:PORT.
+        service: The service that it serves.
+        zone: Its zone; empty if it named none.
+        slots: How many requests it handles at once.
+        models: The revision of each model that it has loaded, by model.
+        rev: The revision of its software.
+        silent: Whether its heartbeats have stopped; set by the registry, absent until then.
+        age: Seconds since it was heard; only between control nodes.
+    """
+
+    id: str
+    state: str
+    seq: int
+    addr: NotRequired[str]
+    service: NotRequired[str]
+    zone: NotRequired[str]
+    slots: NotRequired[int]
+    models: NotRequired[dict[str, Any]]
+    rev: NotRequired[str]
+    silent: NotRequired[bool]
+    age: NotRequired[float]
+
+
+@final
+class HeartbeatSummary(TypedDict):
+    """What control nodes send in place of an entry whose heartbeat said nothing new.
+
+    Attributes:
+        id: The replica's id.
+        seq: The sequence number of the heartbeat.
+        age: Seconds since it was heard.
+    """
+
+    id: str
+    seq: int
+    age: float
--- a/archhatch/membership/replica_registry.py
+++ b/archhatch/membership/replica_registry.py
@@ -1,118 +1,138 @@
-"""The roll of replicas, folded from their beats: kept in memory, spread among control nodes without a sync."""
+"""The registry of replicas, built from their heartbeats: in memory, spread among control nodes without a sync."""
 
 from __future__ import annotations
 
-KEEP_GONE = 90.0
-RANK = {"up": 0, "draining": 1, "gone": 2}
+from .change_order import changed_after
+from .replica_entry import DRAINING, GONE, UP, HeartbeatSummary, ReplicaEntry
+
+GONE_RETENTION_S = 90.0  # longer than a heartbeat can be delayed on its way through other control nodes
+SILENT_RETENTION_S = 4 * GONE_RETENTION_S  # a replica that never said goodbye may be cut off, and come back
+STATE_ORDER = {UP: 0, DRAINING: 1, GONE: 2}
 
 
 class ReplicaRegistry:
-    """Replicas by id, each with the turn of its last change that matters to others.
+    """Replicas by id, with two orders of changes: one for readers, one for the other control nodes.
+
+    Readers are told what changes how requests are placed, control nodes every heartbeat.
 
-    >>> r = ReplicaRegistry(); r.record_heartbeat({"id": "a", "seq": 2, "state": "up"}, 0.0)
+    Attributes:
+        replicas: The entry of each replica, by id.
+        last_heard: When each was last heard, here or by another control node, in seconds of the monotonic clock.
+        version: The number of changes that matter to readers.
+        heartbeat_version: The number of heartbeats.
+
+    >>> registry = ReplicaRegistry(); registry.record_heartbeat({"id": "a", "seq": 2, "state": "up"}, 0.0)
     True
-    >>> r.record_heartbeat({"id": "a", "seq": 1, "state": "up"}, 1.0)
+    >>> registry.record_heartbeat({"id": "a", "seq": 1, "state": "up"}, 1.0)
     False
     """
 
-    def __init__(self):
-        self.replicas: dict[str, dict] = {}
+    def __init__(self) -> None:
+        self.replicas: dict[str, ReplicaEntry] = {}
         self.last_heard: dict[str, float] = {}
-        self.turns: dict[str, int] = {}
         self.version = 0
-        self.beat_turns: dict[str, int] = {}
         self.heartbeat_version = 0
-        self.told_turns: dict[str, int] = {}  # the beat turn of the last beat that said more than 'still here'
-
-    def record_heartbeat(self, entry: dict, now: float) -> bool:
-        """Fold one beat, or the word of another node about one; False if it is late."""
-        rid = entry["id"]
-        old = self.replicas.get(rid)
-        if old is not None:
-            if RANK[old["state"]] > RANK[entry["state"]]:
+        self._versions: dict[str, int] = {}  # in the order of the versions, for changed_after
+        self._heartbeat_versions: dict[str, int] = {}  # likewise
+        self._content_versions: dict[str, int] = {}  # of the last heartbeat that said more than 'still here'
+
+    def record_heartbeat(self, entry: ReplicaEntry, now: float) -> bool:
+        """Records a heartbeat, or an entry that another control node sent.
+
+        Args:
+            entry: The entry; the registry keeps it, so the caller must not change it.
+            now: When it was heard, in seconds of the monotonic clock.
+
+        Returns:
+            False if the entry is older than the known one and was ignored.
+        """
+        replica_id = entry["id"]
+        known = self.replicas.get(replica_id)
+        if known is not None:
+            known_order, order = STATE_ORDER[known["state"]], STATE_ORDER[entry["state"]]
+            if known_order > order:
                 return False
-            if RANK[old["state"]] == RANK[entry["state"]] and entry["seq"] <= old["seq"]:
+            if known_order == order and entry["seq"] <= known["seq"]:
                 return False
-            if entry["state"] == "gone":
-                entry = {**old, "state": "gone", "seq": max(old["seq"], entry["seq"])}
-        self.replicas[rid] = entry
-        self.last_heard[rid] = max(now, self.last_heard.get(rid, now))
+            if entry["state"] == GONE:
+                entry = {**known, "state": GONE, "seq": max(known["seq"], entry["seq"])}
+        self.replicas[replica_id] = entry
+        self.last_heard[replica_id] = max(now, self.last_heard.get(replica_id, now))
         self.heartbeat_version += 1
-        self.beat_turns.pop(rid, None)  # at the end of the dictionary: its order is that of the turns
-        self.beat_turns[rid] = self.heartbeat_version
-        if old is None or {**old, "seq": 0} != {**entry, "seq": 0}:
-            self._turn(rid)
-            self.told_turns[rid] = self.heartbeat_version
+        self._heartbeat_versions.pop(replica_id, None)
+        self._heartbeat_versions[replica_id] = self.heartbeat_version
+        if known is None or {**known, "seq": 0} != {**entry, "seq": 0}:
+            self._record_change(replica_id)
+            self._content_versions[replica_id] = self.heartbeat_version
         return True
 
-    def _turn(self, rid: str) -> None:
+    def _record_change(self, replica_id: str) -> None:
         self.version += 1
-        self.turns.pop(rid, None)
-        self.turns[rid] = self.version
-
-    def sweep(self, now: float, quiet_s: float) -> bool:
-        """Mark replicas that fell silent or spoke again, drop those long gone; True if any changed."""
-        did = False
-        for rid, entry in list(self.replicas.items()):
-            age = now - self.last_heard[rid]
-            if age > KEEP_GONE and (entry["state"] == "gone" or age > 4 * KEEP_GONE):
-                for d in (self.replicas, self.last_heard, self.turns, self.beat_turns, self.told_turns):
-                    d.pop(rid, None)
-                continue
-            silent = age > quiet_s
-            if entry.get("silent", False) != silent:
-                self.replicas[rid] = {**entry, "silent": silent}
-                self._turn(rid)
-                did = True
-        return did
+        self._versions.pop(replica_id, None)
+        self._versions[replica_id] = self.version
 
-    def changes_since(self, turn: int) -> list[dict]:
-        """Entries that changed after a turn, the oldest change first; costs by these, not by all.
+    def sweep(self, now: float, silent_after_s: float) -> bool:
+        """Marks replicas whose heartbeats stopped or came back, and removes those long gone.
 
-        >>> r = ReplicaRegistry(); r.changes_since(0)
+        Args:
+            now: The monotonic clock.
+            silent_after_s: Seconds without a heartbeat after which a replica is marked as silent.
+
+        Returns:
+            Whether a mark changed.
+        """
+        has_changed = False
+        for replica_id, entry in list(self.replicas.items()):
+            age_s = now - self.last_heard[replica_id]
+            if age_s > GONE_RETENTION_S and (entry["state"] == GONE or age_s > SILENT_RETENTION_S):
+                self._remove(replica_id)
+                continue
+            is_silent = age_s > silent_after_s
+            if entry.get("silent", False) != is_silent:
+                self.replicas[replica_id] = {**entry, "silent": is_silent}
+                self._record_change(replica_id)
+                has_changed = True
+        return has_changed
+
+    def _remove(self, replica_id: str) -> None:
+        self.replicas.pop(replica_id, None)
+        self.last_heard.pop(replica_id, None)
+        for versions in (self._versions, self._heartbeat_versions, self._content_versions):
+            versions.pop(replica_id, None)
+
+    def changes_since(self, version: int) -> list[ReplicaEntry]:
+        """Returns the entries that changed after a version, the oldest change first.
+
+        >>> registry = ReplicaRegistry(); registry.changes_since(0)
         []
         """
-        return [self.replicas[r] for r in later(self.turns, turn)]
+        return [self.replicas[replica_id] for replica_id in changed_after(self._versions, version)]
 
-    def heartbeats_since(self, turn: int, now: float) -> list[dict]:
-        """What was heard after a beat turn, each with its age, for a control node that was told all up to it.
+    def heartbeats_since(self, version: int, now: float) -> list[ReplicaEntry | HeartbeatSummary]:
+        """Returns what was heard after a heartbeat version, for a control node that has everything up to it.
 
-        A beat that says nothing new is told as its id and number alone.
+        A heartbeat that said nothing new is summed up as id and sequence number; `expand` undoes that.
 
-        >>> r = ReplicaRegistry(); r.heartbeats_since(0, 1.0)
+        >>> registry = ReplicaRegistry(); registry.heartbeats_since(0, 1.0)
         []
         """
-        out = []
-        for rid in later(self.beat_turns, turn):
-            entry, age = self.replicas[rid], now - self.last_heard[rid]
-            if self.told_turns.get(rid, 0) > turn:
-                out.append({**entry, "age": age})
+        heartbeats: list[ReplicaEntry | HeartbeatSummary] = []
+        for replica_id in changed_after(self._heartbeat_versions, version):
+            entry = self.replicas[replica_id]
+            age_s = now - self.last_heard[replica_id]
+            if self._content_versions.get(replica_id, 0) > version:
+                heartbeats.append({**entry, "age": age_s})
             else:
-                out.append({"id": rid, "seq": entry["seq"], "age": age})
-        return out
+                heartbeats.append({"id": replica_id, "seq": entry["seq"], "age": age_s})
+        return heartbeats
 
-    def expand(self, entry: dict) -> dict | None:
-        """An entry told by another control node, with what its short form left out; None if that is not known here.
+    def expand(self, heartbeat: ReplicaEntry | HeartbeatSummary) -> ReplicaEntry | None:
+        """Returns the entry that another control node sent, perhaps as a summary; None if its replica is not known.
 
-        >>> r = ReplicaRegistry(); r.expand({"id": "a", "seq": 2}) is None
+        >>> registry = ReplicaRegistry(); registry.expand({"id": "a", "seq": 2, "age": 0.0}) is None
         True
         """
-        if "state" in entry:
-            return entry
-        old = self.replicas.get(entry["id"])
-        return None if old is None else {**old, **entry}
-
-
-def later(turns: dict, turn: int) -> list:
-    """Keys of a dictionary in the order of its values, that have a value over turn.
-
-    >>> later({"a": 1, "b": 2, "c": 3}, 1)
-    ['b', 'c']
-    """
-    out = []
-    for key in reversed(turns):
-        if turns[key] <= turn:
-            break
-        out.append(key)
-    out.reverse()
-    return out
+        if "state" in heartbeat:
+            return heartbeat
+        known = self.replicas.get(heartbeat["id"])
+        return None if known is None else {**known, **heartbeat}
--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -9,7 +9,7 @@
 
 from archhatch.control.feed import ConfigFeed
 from archhatch.control.history import MAX_CHANGES, RegisterHistory
-from archhatch.membership import ConfigWatcher
+from archhatch.membership import ConfigWatcher, FeedAnswer
 from archhatch.membership.delta import apply, apply_all, diff
 from archhatch.runtime import StateBoard, Counters
 
@@ -110,7 +110,7 @@
     async def bring(self, reader):
         doc = {"live": {}, "busy": [], "who": reader.card, "stamps": reader.versions, "life": reader.incarnation}
         raw = await self.feed.answer({**doc, "turn": reader.registry_version, "hold": 0.0})
-        reader.apply_answer(orjson.loads(raw))
+        reader.apply_answer(FeedAnswer.from_document(orjson.loads(raw)))
         return raw
 
 
@@ -133,7 +133,9 @@
             assert early.shards["plan"]["stores"] == stores and early.versions["plan"] == version
         await world.bring(late)
         assert late.shards == early.shards
-        assert early.counters.counts.get("news.other_base", 0) == 0 and world.node.counters.counts["feed.changes"] == 10
+        assert (
+            early.counters.counts.get("config.other_base", 0) == 0 and world.node.counters.counts["feed.changes"] == 10
+        )
 
     run(go())
 
@@ -158,9 +160,9 @@
     reader.versions["p0"], reader.shards["p0"] = 4, {"a": 1}
     change = {"stamp": 6, "base": 5, "changes": [{"in": {"a": {"is": 2}}, "drop": []}]}
     doc = {"life": "L", "turn": 0, "cores": [], "busy": {}, "roll": [], "parts": {"p0": change}}
-    reader.apply_answer(doc)
+    reader.apply_answer(FeedAnswer.from_document(doc))
     assert (reader.versions["p0"], reader.shards["p0"]) == (4, {"a": 1}) and reader.counters.counts[
-        "news.other_base"
+        "config.other_base"
     ] == 1
-    reader.apply_answer({**doc, "parts": {"p0": {**change, "base": 4}}})
+    reader.apply_answer(FeedAnswer.from_document({**doc, "parts": {"p0": {**change, "base": 4}}}))
     assert (reader.versions["p0"], reader.shards["p0"]) == (6, {"a": 2})
--- a/tests/membership/test_membership.py
+++ b/tests/health/test_replica_health.py
@@ -1,80 +1,11 @@
+"""The health of one replica, step by step: results in, states out."""
+
 import pytest
 
-from archhatch.health import ReplicaHealth, PeerStatistics
-from archhatch.membership import PeerSet, ReplicaRegistry, choose, rank
+from archhatch.health import PeerStatistics, ReplicaHealth
 from archhatch.health.outlier_detection import STATES
 
 
-def entry(state="up", seq=1, **kwargs):
-    return {"id": "r", "seq": seq, "state": state, "models": {}, **kwargs}
-
-
-@pytest.mark.parametrize(
-    "beats, taken, state",
-    [
-        ([("up", 1), ("up", 2)], [True, True], "up"),
-        ([("up", 2), ("up", 1)], [True, False], "up"),  # late
-        ([("up", 2), ("up", 2)], [True, False], "up"),  # twice
-        ([("up", 1), ("draining", 2), ("up", 3)], [True, True, False], "draining"),
-        ([("draining", 5), ("up", 9)], [True, False], "draining"),  # draining outlives beats that overtook it
-        ([("up", 4), ("gone", 1), ("up", 5)], [True, True, False], "gone"),
-        ([("gone", 1), ("draining", 9)], [True, False], "gone"),
-    ],
-)
-def test_roll_order_of_beats(beats, taken, state):
-    registry = ReplicaRegistry()
-    assert [registry.record_heartbeat(entry(s, q), 1.0) for s, q in beats] == taken
-    assert registry.replicas["r"]["state"] == state
-
-
-def test_roll_turn_moves_only_for_what_matters():
-    registry = ReplicaRegistry()
-    registry.record_heartbeat(entry(seq=1), 0.0)
-    turn = registry.version
-    registry.record_heartbeat(entry(seq=2), 1.0)
-    assert registry.version == turn and registry.changes_since(turn) == []
-    assert [e["age"] for e in registry.heartbeats_since(1, 3.0)] == [2.0]
-    registry.record_heartbeat(entry(seq=3, models={"m": 2}), 2.0)
-    assert registry.changes_since(turn) == [registry.replicas["r"]]
-
-
-@pytest.mark.parametrize("now, silent, turned", [(2.0, False, False), (4.0, True, True)])
-def test_sweep_marks_silence(now, silent, turned):
-    registry = ReplicaRegistry()
-    registry.record_heartbeat(entry(seq=1), 0.0)
-    assert registry.sweep(now, 3.0) is turned
-    assert registry.replicas["r"].get("silent", False) is silent
-    if silent:
-        registry.record_heartbeat(entry(seq=2), 5.0)
-        registry.sweep(5.1, 3.0)
-        assert not registry.replicas["r"].get("silent", False)
-
-
-def test_sweep_drops_what_is_long_gone():
-    registry = ReplicaRegistry()
-    registry.record_heartbeat(entry("gone", 1), 0.0)
-    registry.sweep(1000.0, 3.0)
-    assert registry.replicas == {}
-
-
-def test_rank_moves_only_what_it_must():
-    names = [f"n{i}" for i in range(6)]
-    keys = [f"k{i}" for i in range(200)]
-    before = {k: choose(k, names)[0] for k in keys}
-    after = {k: choose(k, names[:-1])[0] for k in keys}
-    assert all(before[k] == after[k] or before[k] == "n5" for k in keys)
-    assert len(set(before.values())) == 6 and rank("k", names) != rank("j", names)
-
-
-def test_neighbours():
-    n = PeerSet()
-    n.update_card({"id": "a"})
-    assert n.silence_s("a", 1e9) == float("inf")
-    n.record_contact({"id": "a"}, 5.0)
-    n.record_contact({"id": "a"}, 4.0)
-    assert n.silence_s("a", 7.0) == 2.0
-
-
 TABLE = [  # state, result, state after it
     ("fit", "served", "fit"),
     ("doubtful", "served", "fit"),
@@ -204,27 +135,3 @@
     f.note("served", 1.1, 1.0)
     assert f.trials == 3 and f.look(1.2) == "doubtful"
     assert f.look(60.0) == "fit"  # nothing was asked of it: time forgives
-
-
-def test_sightings_are_told_once_and_two_that_tell_each_other_come_to_rest():
-    one, two = PeerSet(step_s=0.2), PeerSet(step_s=0.2)
-    one.record_contact({"id": "s", "ip": "1"}, 10.0)
-    turns = [0, 0]
-    for step in range(20):  # each tells the other what it was not told yet; on the way it grows a little younger
-        for k, (a, b) in enumerate([(one, two), (two, one)]):
-            for word, age in a.changes_since(turns[k], 11.0 + step):
-                heard_at = 11.0 + step - age + 0.003
-                assert (
-                    b.record_contact(word, heard_at) is None
-                    if isinstance(word, dict)
-                    else b.record_sighting(word, heard_at)
-                )
-            turns[k] = a.version
-    assert one.version == two.version == 2 and two.last_heard["s"] < 10.1
-    one.record_contact({"id": "s", "ip": "1"}, 40.0)
-    assert one.changes_since(turns[0], 40.0) == [["s", 0.0]]
-    one.record_contact({"id": "s", "ip": "2"}, 40.1)  # another card is told whole, however soon
-    assert one.changes_since(turns[0], 40.1)[0][0] == {"id": "s", "ip": "2"}
-    assert two.record_sighting("unknown", 40.0) is False
-    one.forget("s")
-    assert one.changes_since(0, 40.0) == [] and one.silence_s("s", 40.0) == float("inf")
--- a/tests/membership/test_config_watcher.py
+++ b/tests/membership/test_config_watcher.py
@@ -1,9 +1,9 @@
-"""News as it reaches a node: never back in one life, whichever control node tells it, however late."""
+"""The configuration as it reaches a node: it never goes back, whichever control node answers, and however late."""
 
 import pytest
 from tests.support.fakes import HandClock
 
-from archhatch.membership import ConfigWatcher
+from archhatch.membership import ConfigWatcher, FeedAnswer
 from archhatch.runtime import StateBoard, Counters
 from archhatch.runtime.settings import check_settings
 from archhatch.rpc import CallError, ConnectionPool
@@ -32,9 +32,9 @@
 def test_parts_only_rise(stamps, held):
     r = reader()
     for n, s in enumerate(stamps):
-        r.apply_answer(feed_answer({"plan": s}, incarnation=f"core-{n}"))
+        r.apply_answer(FeedAnswer.from_document(feed_answer({"plan": s}, incarnation=f"core-{n}")))
     assert r.versions == {"plan": held} and r.shards["plan"] == {"n": held}
-    assert r.counters.counts["news.late_part"] == sum(s <= max(stamps[:n], default=0) for n, s in enumerate(stamps))
+    assert r.counters.counts["config.late_shard"] == sum(s <= max(stamps[:n], default=0) for n, s in enumerate(stamps))
 
 
 def entry(state, seq, **kwargs):
@@ -55,24 +55,24 @@
 def test_replicas_never_come_back_from_leaving(ents, state, seq, late):
     r = reader()
     for n, e in enumerate(ents):
-        r.apply_answer(feed_answer(registry=[e], incarnation=f"core-{n}"))
+        r.apply_answer(FeedAnswer.from_document(feed_answer(registry=[e], incarnation=f"core-{n}")))
     assert (r.replicas["r"]["state"], r.replicas["r"]["seq"]) == (state, seq) and r.counters.counts[
-        "news.late_entry"
+        "config.late_replica"
     ] == late
 
 
 def test_addresses_are_learnt_and_the_one_that_answers_is_kept():
     r = reader()
-    r.addrs, r.at = ["1.1.1.1:7", "1.1.1.2:7"], 1
-    r.apply_answer(feed_answer(cores=["1.1.1.3:7", "1.1.1.1:7"]))
-    assert set(r.addrs) == {"1.1.1.3:7", "1.1.1.1:7", "1.1.1.2:7"} and r.addrs[r.at] == "1.1.1.2:7"
-    r.apply_answer(feed_answer(cores=[]))
-    assert len(r.addrs) == 3
+    r.addresses, r.source_index = ["1.1.1.1:7", "1.1.1.2:7"], 1
+    r.apply_answer(FeedAnswer.from_document(feed_answer(cores=["1.1.1.3:7", "1.1.1.1:7"])))
+    assert set(r.addresses) == {"1.1.1.3:7", "1.1.1.1:7", "1.1.1.2:7"} and r.addresses[r.source_index] == "1.1.1.2:7"
+    r.apply_answer(FeedAnswer.from_document(feed_answer(cores=[])))
+    assert len(r.addresses) == 3
 
 
 def test_entries_are_taken_once():
     r = reader()
-    r.apply_answer(feed_answer(registry=[entry("up", 1)]))
+    r.apply_answer(FeedAnswer.from_document(feed_answer(registry=[entry("up", 1)])))
     assert [e["seq"] for e in r.take_changed_replicas()] == [1] and r.take_changed_replicas() == []
 
 
@@ -106,7 +106,7 @@
 def reading(held):
     r, clock = reader(), HandClock()
     r.clock, r.connections = clock, Nodes(clock, held)
-    r.addrs, r.at = list(held), 0
+    r.addresses, r.source_index = list(held), 0
     return r, r.connections, clock
 
 
@@ -126,7 +126,7 @@
         nodes.heard = heard
         for _ in asked:
             if not await r.ask_once():
-                r.at += 1
+                r.source_index += 1
         assert "".join(nodes.asked) == asked and r.source_addresses()[0] == stays and r.versions["plan"] == version
 
     run(go())
@@ -136,10 +136,14 @@
     async def go():
         r, nodes, _ = reading({"a": 5, "b": 4, "c": 6})
         await r.ask_once()
-        r.at = 1
+        r.source_index = 1
         for _ in range(3):
             await r.ask_once()
-        assert nodes.asked == ["a", "b", "c", "c"] and r.versions["plan"] == 6 and r.counters.counts["news.behind"] == 1
+        assert (
+            nodes.asked == ["a", "b", "c", "c"]
+            and r.versions["plan"] == 6
+            and r.counters.counts["config.source_behind"] == 1
+        )
 
     run(go())
 
@@ -150,10 +154,10 @@
         nodes.heard = {"a": 5}
         moves = []
         for _ in range(400):
-            before = r.at
+            before = r.source_index
             await r.ask_once()
             clock.at += r.hold_s / 8
-            moves.append(r.at != before)
+            moves.append(r.source_index != before)
         assert 5 <= sum(moves) <= 14
         nodes.heard = {"a": 7, "b": 7}
         nodes.held["b" if r.source_addresses()[0] == "a" else "a"] = 7
@@ -172,7 +176,7 @@
         assert (
             await r.ask_once()
             and ("plan" in r.versions) is folded
-            and r.counters.counts["news.asked_anew"] == (not folded)
+            and r.counters.counts["config.answer_outdated"] == (not folded)
         )
         nodes.takes = 0.0
         assert await r.ask_once() and r.versions["plan"] == 5 and nodes.asked == ["a", "a"]
@@ -185,12 +189,12 @@
         r, nodes, _ = reading({"a": 5, "b": 9})
         for incarnation, version in (("l1", 5), ("l2", 6), ("l1", 7)):
             nodes.lives["a"], nodes.held["a"] = incarnation, version
-            r.at = 0
+            r.source_index = 0
             await r.ask_once()
         assert (
             r.versions["plan"] == 6
             and r.incarnation == "l2"
-            and r.counters.counts["news.old_life"] == 1
+            and r.counters.counts["config.source_ended"] == 1
             and r.source_addresses()[0] == "b"
         )
 
@@ -203,8 +207,8 @@
         nodes.ids = {"a": "n1", "b": "n2"}
         assert await r.ask_once()
         nodes.ids["a"] = "n3"
-        assert not await r.ask_once() and r.counters.counts["news.other_node"] == 1  # it asks elsewhere
-        assert await r.ask_once() and r.sources.node("a") == "n3"
+        assert not await r.ask_once() and r.counters.counts["config.other_node"] == 1  # it asks elsewhere
+        assert await r.ask_once() and r.sources.node_id("a") == "n3"
         assert (
             await r.run_command("plan", "x", {}) == (2008, "dropped") and nodes.asked[-1] == "a"
         )  # the command's own word
