--- a/archhatch/health/__init__.py
+++ b/archhatch/health/__init__.py
@@ -1,8 +1,14 @@
-"""Replica health: outlier detection from the answers that requests get."""
+"""Health of replicas: passive outlier detection from the outcomes of requests."""
 
-from .outlier_detection import ReplicaHealth, PeerStatistics
+from .health_state import EJECTED, HEALTHY, SUSPECT, HealthState, RequestOutcome
+from .outlier_detection import PeerStatistics, ReplicaHealth
 
 __all__ = [
+    "EJECTED",
+    "HEALTHY",
+    "SUSPECT",
+    "HealthState",
     "PeerStatistics",
     "ReplicaHealth",
+    "RequestOutcome",
 ]
--- a/archhatch/rollout_controller/engines.py
+++ b/archhatch/rollout_controller/engines.py
@@ -84,7 +84,7 @@
             e.draining = entry["state"] == "draining"
             was, e.silent = e.silent, bool(entry.get("silent"))
             if was and not e.silent:
-                e.health.hint()
+                e.health.hint_recovery()
             for model, rev in entry["models"].items():
                 e.proven(model, rev)
 
@@ -100,7 +100,7 @@
 
     def _drop(self, e: Engine) -> None:
         self.all.pop(e.iid, None)
-        self.peers[e.service].leave(e.health)
+        self.peers[e.service].remove(e.health)
         if self.by_addr.get(e.address) is e:
             del self.by_addr[e.address]
         self._listed.clear()
--- a/archhatch/rollout_controller/weight_orders.py
+++ b/archhatch/rollout_controller/weight_orders.py
@@ -10,6 +10,7 @@
 import aiohttp
 import orjson
 
+from ..health import EJECTED
 from ..jobs import DeposedError
 from ..upstream import ECHO, SEAL, NotSentError, says_not_run
 from .load_concurrency import LoadConcurrencyLimit
@@ -90,7 +91,7 @@
                 continue
             urgent = not any(e.revs.get(run, 1) >= target for e in engines) or self._starved(leadership, run, engines)
             for e in engines:
-                if e.revs.get(run, 1) >= target or e.ordering or e.health.look(now) == "resting" or e.silent:
+                if e.revs.get(run, 1) >= target or e.ordering or e.health.update(now) is EJECTED or e.silent:
                     continue
                 if e.pause_until > now or not leadership.may_order(e.iid):
                     continue
@@ -209,7 +210,7 @@
             return Taken.NO
         except (aiohttp.ClientError, OSError, asyncio.TimeoutError, ValueError):
             if not gate.passed:  # there was no connection to write it on
-                e.health.note("vanished", store.clock.now(), store.gap_s() * LAG_GAPS)
+                e.health.record("vanished", store.clock.now(), store.gap_s() * LAG_GAPS)
                 return Taken.NO
             return self._unclear(e, "order.unanswered")
         return await self._heed(run, e, target, status, not_run)
--- a/archhatch/share_group/acknowledgements.py
+++ b/archhatch/share_group/acknowledgements.py
@@ -95,4 +95,4 @@
             elif sign == "pace":
                 e.pace += 0.1 * (rest - e.pace)
             else:
-                e.health.note(sign, now, rest)
+                e.health.record(sign, now, rest)
--- a/archhatch/share_group/replica_slots.py
+++ b/archhatch/share_group/replica_slots.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from ..health import EJECTED, SUSPECT
 from ..membership import rank
 from ..rollout_controller.load_limit import LoadLimit
 from .led_partitions import LedPartitions
@@ -59,11 +60,11 @@
         """Free places of an engine that may have items; one in doubt gets few until it has proven itself."""
         if e.draining or e.pause_until > now:
             return 0
-        health = e.health.look(now)
-        if health == "resting":
+        health = e.health.update(now)
+        if health is EJECTED:
             return 0
         places = self.usable_slots(e)
-        return (min(places, max(1, places // DOUBTFUL)) if health == "doubtful" else places) - e.busy()
+        return (min(places, max(1, places // DOUBTFUL)) if health is SUSPECT else places) - e.busy()
 
     def lacks_replicas(self, run: LedPartitions, model: str) -> bool:
         """Whether items that the trainer waits for find no free place under a version that they allow, and would not be
--- a/archhatch/upstream/load_balancer.py
+++ b/archhatch/upstream/load_balancer.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from ..region_policy import Placement
-from ..health import ReplicaHealth, PeerStatistics
+from ..health import EJECTED, HEALTHY, PeerStatistics, ReplicaHealth
 from .client import Answer, Ran
 from .headers import LOAD
 from .subset import Subset
@@ -102,7 +102,7 @@
                 self._leave(t)
             was, t.silent = t.silent, bool(entry.get("silent"))
             if was and not t.silent:
-                t.health.hint()
+                t.health.hint_recovery()
 
     def _add(self, entry: dict) -> ReplicaEndpoint:
         t = ReplicaEndpoint(entry["id"], entry["addr"], entry["service"], entry["zone"], entry["slots"])
@@ -128,7 +128,7 @@
     def _leave(self, t: ReplicaEndpoint) -> None:
         pool = self.pools[t.service]
         pool.subset.drop(t.iid)
-        pool.peers.leave(t.health)
+        pool.peers.remove(t.health)
 
     def pick(
         self, service: str, tried: set, now: float, route=None, sure: bool = False, early: bool = False
@@ -163,7 +163,7 @@
         if early and (best is None or not self._well(best, pool, now)):
             return None
         pool.picks += 1
-        if best is not None and best.health.trials:
+        if best is not None and best.health.trials_left:
             best.trial_at = pool.picks
         return best
 
@@ -194,7 +194,7 @@
     def _well(self, t: ReplicaEndpoint, pool: _Pool, now: float) -> bool:
         """It does well, and has a place free."""
         return (
-            t.health.state == "fit"
+            t.health.state is HEALTHY
             and self._busy(t, now) < t.slots
             and not self._dark(t, now)
             and self._slow(t, pool, now) < 1.0
@@ -237,16 +237,16 @@
         if self._dark(t, now):
             cost += SILENT
         fit = t.health
-        state = fit.look(now)
-        if state == "fit":
-            return cost + FAILS * fit.share(now)
-        if state == "resting":
+        state = fit.update(now)
+        if state is HEALTHY:
+            return cost + FAILS * fit.failure_ratio(now)
+        if state is EJECTED:
             return cost + RESTING
-        if fit.trials:
-            if not sure and not t.under_way and pool.picks - t.trial_at >= TRIAL_EACH * fit.trials:
+        if fit.trials_left:
+            if not sure and not t.under_way and pool.picks - t.trial_at >= TRIAL_EACH * fit.trials_left:
                 return cost - 2.0  # a trial: ahead of all others
             cost += 1.0
-        return cost + FAILS * fit.share(now) * (2.0 if sure else 1.0)
+        return cost + FAILS * fit.failure_ratio(now) * (2.0 if sure else 1.0)
 
     def judge(self, t: ReplicaEndpoint, answer: Answer, now: float, took: float, typical: float) -> None:
         """Fold what an answer shows of a replica: its health, its pace and its load.
@@ -269,13 +269,13 @@
 
     def _shed(self, t: ReplicaEndpoint, now: float) -> None:
         """It was full: load, no ill health."""
-        t.health.note("shed", now, self.rest_s)
+        t.health.record("shed", now, self.rest_s)
         t.full_until = now + HEARD_S * 2 ** min(t.sheds, MOST_SHEDS)
         t.sheds += 1
 
     def note(self, t: ReplicaEndpoint, what: str, now: float, took: float | None = None, typical: float = 0.1) -> None:
         """Fold what a send showed."""
-        t.health.note(what, now, self.rest_s)
+        t.health.record(what, now, self.rest_s)
         if what == "served":
             t.served_at, t.sheds, t.full_until = now, 0, float("-inf")
         if what == "served" and self.placement.policy is not None:
--- a/tests/data_plane/test_hedging.py
+++ b/tests/data_plane/test_hedging.py
@@ -152,7 +152,7 @@
         assert slow.under_way == 1 and len(fwd.outlived) == 1 and slow.iid not in fwd.upstream_client.ended
         fwd.upstream_client.gate.set()
         await asyncio.gather(*fwd.outlived)
-        assert slow.under_way == 0 and slow.pace > 0 and slow.health.state == "fit" and slow.health.good == 1.0
+        assert slow.under_way == 0 and slow.pace > 0 and slow.health.state == "healthy" and slow.health.successes == 1.0
         await asyncio.sleep(0)
         assert not fwd.outlived
 
@@ -165,6 +165,6 @@
         assert (await fwd.run(Req, route, list(Req.headers.items()), b"")).status == 504
         assert {t.under_way for t in fwd.load_balancer.all.values()} == {0} and not fwd.outlived
         states = [fwd.load_balancer.all[i].health.state for i, _ in fwd.upstream_client.sent]
-        assert states[0] == "doubtful"
+        assert states[0] == "suspect"
 
     run(go())
--- a/tests/health/test_outlier_detection.py
+++ b/tests/health/test_outlier_detection.py
@@ -104,7 +104,7 @@
     site.share(60)
     assert least <= site.share(600) <= most
     t = site.p.all[site.first]
-    assert t.health.look(site.now) == "fit"
+    assert t.health.update(site.now) == "healthy"
     t.pace, site.ill = 8.0, grey(0.0, FAILED)
     site.share(1200)
     assert site.share(300) > 0.2  # what was seen long ago is forgotten
@@ -115,7 +115,7 @@
     site = Site(lambda iid, site: (answer, 0.001))
     assert site.share(600) <= 0.1
     t = site.p.all[site.first]
-    assert t.health.state == "fit" and t.health.share(site.now) == 0.0
+    assert t.health.state == "healthy" and t.health.failure_ratio(site.now) == 0.0
     site.ill, site.now = grey(0.0, FAILED), site.now + 10.0
     assert site.share(300) > 0.2
 
@@ -136,7 +136,7 @@
     for _ in range(4):
         site.p.note(t, "faulted", site.now)
     site.now += 1.3
-    assert t.health.look(site.now) == "doubtful"
+    assert t.health.update(site.now) == "suspect"
     assert (site.p.pick("s", set(), site.now, sure=sure) is t) is picked
 
 
@@ -145,4 +145,4 @@
     for t in site.p.all.values():
         for _ in range(6):
             site.p.note(t, "faulted" if t.iid != "i5" else "served", site.now)
-    assert sum(t.health.look(site.now) == "resting" for t in site.p.all.values()) <= N // 3
+    assert sum(t.health.update(site.now) == "ejected" for t in site.p.all.values()) <= N // 3
--- a/tests/health/test_replica_health.py
+++ b/tests/health/test_replica_health.py
@@ -2,53 +2,52 @@
 
 import pytest
 
-from archhatch.health import PeerStatistics, ReplicaHealth
-from archhatch.health.outlier_detection import STATES
+from archhatch.health import HealthState, PeerStatistics, ReplicaHealth
 
 
 TABLE = [  # state, result, state after it
-    ("fit", "served", "fit"),
-    ("doubtful", "served", "fit"),
-    ("resting", "served", "doubtful"),
-    ("fit", "faulted", "doubtful"),
-    ("doubtful", "faulted", "doubtful"),
-    ("resting", "faulted", "resting"),
-    ("fit", "vanished", "resting"),
-    ("doubtful", "vanished", "resting"),
-    ("resting", "vanished", "resting"),
-    ("fit", "late", "fit"),
-    ("doubtful", "late", "fit"),
-    ("resting", "late", "resting"),
-    ("fit", "shed", "fit"),
-    ("resting", "shed", "resting"),
+    ("healthy", "served", "healthy"),
+    ("suspect", "served", "healthy"),
+    ("ejected", "served", "suspect"),
+    ("healthy", "faulted", "suspect"),
+    ("suspect", "faulted", "suspect"),
+    ("ejected", "faulted", "ejected"),
+    ("healthy", "vanished", "ejected"),
+    ("suspect", "vanished", "ejected"),
+    ("ejected", "vanished", "ejected"),
+    ("healthy", "late", "healthy"),
+    ("suspect", "late", "healthy"),
+    ("ejected", "late", "ejected"),
+    ("healthy", "shed", "healthy"),
+    ("ejected", "shed", "ejected"),
 ]
 
 
-def test_the_table_of_moves_names_all_states():
-    assert {s for s, _, _ in TABLE} == set(STATES)
+def test_the_table_names_all_states():
+    assert {s for s, _, _ in TABLE} == set(HealthState)
 
 
 @pytest.mark.parametrize("state, sign, dest", TABLE)
-def test_fitness_moves(state, sign, dest):
+def test_health_moves(state, sign, dest):
     f = ReplicaHealth()
-    f.state, f.until, f.bad = state, 5.0, 1.0 if state == "resting" else 0.0
-    f.note(sign, 0.0, 1.0)
-    assert f.look(0.0) == dest
+    f.state, f.ejected_until, f.failures = HealthState(state), 5.0, 1.0 if state == "ejected" else 0.0
+    f.record(sign, 0.0, 1.0)
+    assert f.update(0.0) == dest
 
 
 SEQUENCES = [  # results one second apart with rests of 1 s, the state behind them
-    ("s" * 20 + "f", "fit"),  # one failure among many successes
-    ("f", "doubtful"),
-    ("ff", "resting"),
-    ("s" * 20 + "fffff", "resting"),
-    ("sfsfsfsf", "resting"),  # grey
-    ("sssfssssssfsssss", "fit"),
-    ("x" * 30, "fit"),  # full all the time: load
-    ("l" * 30, "doubtful"),  # slow all the time: used less, not ejected
-    ("v", "resting"),
-    ("vs", "doubtful"),  # there again, on trial
-    ("vssss", "doubtful"),
-    ("vsssss", "fit"),
+    ("s" * 20 + "f", "healthy"),  # one failure among many successes
+    ("f", "suspect"),
+    ("ff", "ejected"),
+    ("s" * 20 + "fffff", "ejected"),
+    ("sfsfsfsf", "ejected"),  # grey
+    ("sssfssssssfsssss", "healthy"),
+    ("x" * 30, "healthy"),  # full all the time: load
+    ("l" * 30, "suspect"),  # slow all the time: used less, not ejected
+    ("v", "ejected"),
+    ("vs", "suspect"),  # there again, on trial
+    ("vssss", "suspect"),
+    ("vsssss", "healthy"),
 ]
 
 
@@ -56,52 +55,52 @@
 def test_results_are_weighed(signs, state):
     f, now = ReplicaHealth(), 100.0
     for sign in signs:
-        f.note({"s": "served", "f": "faulted", "v": "vanished", "l": "late", "x": "shed"}[sign], now, 1.0)
+        f.record({"s": "served", "f": "faulted", "v": "vanished", "l": "late", "x": "shed"}[sign], now, 1.0)
         now += 0.1
-    assert f.look(now - 0.1) == state
+    assert f.update(now - 0.1) == state
 
 
-def test_fitness_rests_longer_each_time_and_comes_back_in_doubt():
+def test_health_rests_longer_each_time_and_comes_back_in_doubt():
     f = ReplicaHealth()
-    f.note("vanished", 0.0, 1.0)
-    assert f.look(0.5) == "resting" and f.look(1.0) == "doubtful"
-    f.note("vanished", 1.0, 1.0)
-    assert f.look(2.5) == "resting" and f.look(3.0) == "doubtful"
-    f.note("served", 3.0, 1.0)
-    f.note("vanished", 3.0, 1.0)
-    assert f.look(6.5) == "resting" and f.look(7.0) == "doubtful"  # one success does not prove it well
+    f.record("vanished", 0.0, 1.0)
+    assert f.update(0.5) == "ejected" and f.update(1.0) == "suspect"
+    f.record("vanished", 1.0, 1.0)
+    assert f.update(2.5) == "ejected" and f.update(3.0) == "suspect"
+    f.record("served", 3.0, 1.0)
+    f.record("vanished", 3.0, 1.0)
+    assert f.update(6.5) == "ejected" and f.update(7.0) == "suspect"  # one success does not prove it well
     for n in range(12):
-        f.note("served", 7.0 + n, 1.0)
-    assert f.look(19.0) == "fit"
-    f.note("vanished", 19.0, 1.0)
+        f.record("served", 7.0 + n, 1.0)
+    assert f.update(19.0) == "healthy"
+    f.record("vanished", 19.0, 1.0)
     assert (
-        f.look(22.5) == "resting" and f.look(23.0) == "doubtful"
+        f.update(22.5) == "ejected" and f.update(23.0) == "suspect"
     )  # it was ill by turns; half of what was is forgotten
 
 
 def test_failures_sent_before_a_rest_do_not_prolong_it():
     f = ReplicaHealth()
     for _ in range(20):
-        f.note("faulted", 0.0, 1.0)
-    assert f.look(0.9) == "resting" and f.look(1.0) == "doubtful"
+        f.record("faulted", 0.0, 1.0)
+    assert f.update(0.9) == "ejected" and f.update(1.0) == "suspect"
 
 
 @pytest.mark.parametrize(
     "results, beaten, state",
     [
-        (["vanished"], True, "doubtful"),  # out of reach, and there again
-        (["vanished"], False, "resting"),
-        (["faulted"] * 3, True, "resting"),  # a beat proves nothing against results
-        (["vanished", "served", "vanished", "served", "vanished"], True, "resting"),
+        (["vanished"], True, "suspect"),  # out of reach, and there again
+        (["vanished"], False, "ejected"),
+        (["faulted"] * 3, True, "ejected"),  # a beat proves nothing against results
+        (["vanished", "served", "vanished", "served", "vanished"], True, "ejected"),
     ],
 )
 def test_a_beat_is_a_hint(results, beaten, state):
     f = ReplicaHealth()
     for r in results:
-        f.note(r, 10.0, 1.0)
+        f.record(r, 10.0, 1.0)
     if beaten:
-        f.hint()
-    assert f.look(10.5) == state
+        f.hint_recovery()
+    assert f.update(10.5) == state
 
 
 @pytest.mark.parametrize("count, bad, out", [(2, 2, 0), (3, 1, 1), (3, 3, 1), (9, 4, 3), (24, 24, 8)])
@@ -110,11 +109,11 @@
     all_ = [ReplicaHealth(peers) for _ in range(count)]
     for n, f in enumerate(all_):
         for _ in range(8):
-            f.note("faulted" if n < bad else "served", 10.0, 1.0)
-    assert sum(f.look(10.1) == "resting" for f in all_) <= out
+            f.record("faulted" if n < bad else "served", 10.0, 1.0)
+    assert sum(f.update(10.1) == "ejected" for f in all_) <= out
     for f in all_[:bad]:
-        peers.leave(f)
-    assert not peers.out and len(peers.members) == count - bad
+        peers.remove(f)
+    assert not peers.ejected and len(peers.members) == count - bad
 
 
 def test_where_all_fail_alike_none_is_ejected():
@@ -122,16 +121,16 @@
     all_ = [ReplicaHealth(peers) for _ in range(6)]
     for n in range(40):
         for f in all_:
-            f.note("faulted" if n % 2 else "served", 10.0 + n, 1.0)
-    assert {f.look(50.0) for f in all_} == {"doubtful"}
+            f.record("faulted" if n % 2 else "served", 10.0 + n, 1.0)
+    assert {f.update(50.0) for f in all_} == {"suspect"}
 
 
 def test_a_few_trials_and_time_bring_it_back():
     f = ReplicaHealth()
     for _ in range(4):
-        f.note("faulted", 0.0, 1.0)
-    assert f.look(1.0) == "doubtful" and f.trials == 5
-    f.note("served", 1.0, 1.0)
-    f.note("served", 1.1, 1.0)
-    assert f.trials == 3 and f.look(1.2) == "doubtful"
-    assert f.look(60.0) == "fit"  # nothing was asked of it: time forgives
+        f.record("faulted", 0.0, 1.0)
+    assert f.update(1.0) == "suspect" and f.trials_left == 5
+    f.record("served", 1.0, 1.0)
+    f.record("served", 1.1, 1.0)
+    assert f.trials_left == 3 and f.update(1.2) == "suspect"
+    assert f.update(60.0) == "healthy"  # nothing was asked of it: time forgives
--- a/tests/http_server/test_client_disconnect.py
+++ b/tests/http_server/test_client_disconnect.py
@@ -32,7 +32,7 @@
         await asyncio.gather(*fwd.outlived)
         assert {t.under_way for t in fwd.load_balancer.all.values()} == {0}
         assert {t.health.state for t in fwd.load_balancer.all.values()} == {
-            "fit"
+            "healthy"
         }  # it says nothing of a replica's health
 
     run(go())
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -93,7 +93,7 @@
     assert rep.ran == ["r0", "r2"]
 
 
-@pytest.mark.parametrize("stale, state", [(True, "fit"), (False, "doubtful")])
+@pytest.mark.parametrize("stale, state", [(True, "healthy"), (False, "suspect")])
 def test_a_forgotten_connection_is_no_ill_health(run, stale, state):
     out, _ = play(run, [(0, ""), (5, "")], 2)
     p = LoadBalancer("z")
