--- a/archhatch/rpc/__init__.py
+++ b/archhatch/rpc/__init__.py
@@ -1,20 +1,21 @@
-"""Connections between the system's own nodes: framed messages, calls and their answers."""
+"""Remote procedure calls between the system's own nodes: framed messages over TCP, calls and their answers."""
 
-from .connection import CallError, Connection, ConnectionPool
+from .connection import CallError, CallResult, Connection, ConnectionPool
 from .messages import Envelope
 from .network import Network, TcpNetwork
 from .pending import PendingCalls
-from .server import Handlers, CallRefusedError, Server, is_misdirected
+from .server import CallRefusedError, Handlers, Server, is_misdirected
 
 __all__ = [
     "CallError",
+    "CallRefusedError",
+    "CallResult",
     "Connection",
     "ConnectionPool",
     "Envelope",
     "Handlers",
     "Network",
     "PendingCalls",
-    "CallRefusedError",
     "Server",
     "TcpNetwork",
     "is_misdirected",
--- a/archhatch/rpc/channel.py
+++ b/archhatch/rpc/channel.py
@@ -1,75 +1,80 @@
-"""One TCP connection to a node, with the calls that wait on it. It ends once, and all its calls with it."""
+"""One TCP connection to a node, with the calls that wait on it. It closes once, and all its calls fail with it."""
 
 from __future__ import annotations
 
 import asyncio
 
+from ..exceptions import ArchhatchError
+from ..runtime import Counters
 from .framing import FrameError, read_frame
 from .messages import Envelope
 from .pending import PendingCalls
 
 
-class ChannelClosedError(Exception):
-    """The connection ended while a call waited on it."""
+class ChannelClosedError(ArchhatchError):
+    """The connection closed while a call waited on it."""
 
 
 class Channel:
-    """Reads the answers of one TCP connection and gives each to the call that waits for it here.
+    """Reads the answers of one TCP connection and gives each to the call that waits for it.
 
-    >>> # channel = Channel(reader, writer, counters); key = channel.put(future)
+    Attributes:
+        counters: Counts answers that cannot be used.
+        last_frame_at: When the last frame arrived, on the event loop's clock, in seconds.
     """
 
-    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, counters):
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, counters: Counters) -> None:
         self.counters = counters
-        self.heard = float("-inf")  # when the last frame came, by the loop's clock
+        self.last_frame_at = float("-inf")
         self._writer = writer
-        self._pending = PendingCalls()
-        self._ended = False
-        self._task = asyncio.get_running_loop().create_task(self._read(reader))
+        self._pending: PendingCalls[asyncio.Future] = PendingCalls()
+        self._is_closed = False
+        self._task = asyncio.get_running_loop().create_task(self._read_answers(reader))
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether a call may still be sent here."""
-        return not self._ended and not self._writer.is_closing()
+        return not self._is_closed and not self._writer.is_closing()
 
-    def put(self, future: asyncio.Future) -> int:
-        """Let a call wait for its answer; its key."""
+    def register(self, future: asyncio.Future) -> int:
+        """Adds a call that waits for its answer, and returns its key."""
         return self._pending.put(future)
 
-    def forget(self, key: int) -> None:
-        """The call waits no more: what comes for it finds nobody."""
+    def unregister(self, key: int) -> None:
+        """Removes a call that does not wait any more: an answer to it is dropped."""
         self._pending.take(key)
 
     def write(self, frame: bytes) -> None:
-        """Send a frame."""
+        """Sends a frame."""
         self._writer.write(frame)
 
-    def end(self) -> None:
-        """Close the connection and tell all who wait on it; nothing that is still read completes a call."""
-        if self._ended:
+    def close(self) -> None:
+        """Closes the connection and fails the calls that wait on it; what is still read completes no call."""
+        if self._is_closed:
             return
-        self._ended = True
+        self._is_closed = True
         self._writer.transport.abort()
         self._task.cancel()
         for future in self._pending.drain():
             if not future.done():
                 future.set_exception(ChannelClosedError())
 
-    async def _read(self, reader: asyncio.StreamReader) -> None:
+    async def _read_answers(self, reader: asyncio.StreamReader) -> None:
         try:
-            while not self._ended:
-                self._answer(await read_frame(reader))
+            while not self._is_closed:
+                self._dispatch(await read_frame(reader))
         except FrameError:
             self.counters.add("rpc.bad_answer")
         except (OSError, EOFError):
-            pass
+            pass  # the other side closed: its callers learn it from close()
         finally:
-            self.end()
+            self.close()
 
-    def _answer(self, envelope: Envelope) -> None:
-        self.heard = asyncio.get_running_loop().time()
+    def _dispatch(self, envelope: Envelope) -> None:
+        """Gives an answer to the call that it is for."""
+        self.last_frame_at = asyncio.get_running_loop().time()
         future = self._pending.take(envelope.call)
         if future is None or future.done():
-            self.counters.add("rpc.late_answer")  # nobody waits for it any more, or it came twice
+            self.counters.add("rpc.late_answer")  # its caller does not wait any more, or it came twice
             return
         future.set_result(envelope)
--- a/tests/rpc/test_rpc.py
+++ b/tests/rpc/test_rpc.py
@@ -20,15 +20,19 @@
 FRAME = pack(Envelope(call=7, verb="ping", head=b"{}"))
 
 
-def test_slab_keys_are_never_used_twice():
-    s = PendingCalls()
-    a = s.put("a")
-    assert s.take(a) == "a" and s.take(a) is None
-    b = s.put("b")
-    assert b != a and s.take(a) is None and s.take(b) == "b"
-    assert s.take(12345 << 20 | 999) is None
+def test_keys_of_calls_are_never_used_twice():
+    pending = PendingCalls()
+    a = pending.put("a")
+    assert pending.take(a) == "a" and pending.take(a) is None
+    b = pending.put("b")
+    assert b != a and pending.take(a) is None and pending.take(b) == "b"
+    assert pending.take(12345 << 20 | 999) is None
     other = PendingCalls()
-    assert other.put("c") not in (a, b) and s.put("d") not in (a, b, other.put("e"))  # of all connections together
+    assert other.put("c") not in (a, b) and pending.put("d") not in (
+        a,
+        b,
+        other.put("e"),
+    )  # of all connections together
 
 
 @pytest.mark.parametrize(
@@ -43,11 +47,11 @@
 )
 def test_damaged_frames(run, data, fault):
     async def go():
-        rd = asyncio.StreamReader()
-        rd.feed_data(data)
-        rd.feed_eof()
+        reader = asyncio.StreamReader()
+        reader.feed_data(data)
+        reader.feed_eof()
         with pytest.raises(fault):
-            await read_frame(rd)
+            await read_frame(reader)
 
     run(go())
 
@@ -57,11 +61,11 @@
 )
 def test_bodies_come_through_deflated_or_not(run, body):
     async def go():
-        rd = asyncio.StreamReader()
+        reader = asyncio.StreamReader()
         raw = pack(Envelope(call=1, body=body))
-        rd.feed_data(raw)
-        env = await read_frame(rd)
-        assert env.body == body and not env.packed and len(raw) <= len(body) + 20
+        reader.feed_data(raw)
+        envelope = await read_frame(reader)
+        assert envelope.body == body and not envelope.packed and len(raw) <= len(body) + 20
         assert len(body) < 4000 or len(raw) < len(body) / 2
 
     run(go())
@@ -72,93 +76,97 @@
 )
 def test_damaged_deflate_is_a_fault(run, body):
     async def go():
-        env = Envelope(call=1, body=body, packed=True)
-        raw = bytes(env)
-        rd = asyncio.StreamReader()
-        rd.feed_data(len(raw).to_bytes(4, "big") + zlib.crc32(raw).to_bytes(4, "big") + raw)
+        envelope = Envelope(call=1, body=body, packed=True)
+        raw = bytes(envelope)
+        reader = asyncio.StreamReader()
+        reader.feed_data(len(raw).to_bytes(4, "big") + zlib.crc32(raw).to_bytes(4, "big") + raw)
         with pytest.raises(FrameError):
-            await read_frame(rd)
+            await read_frame(reader)
 
     run(go())
 
 
 def build(identity=None):
-    verbs, counters = Handlers(), Counters()
+    handlers, counters = Handlers(), Counters()
 
-    @verbs.on("echo")
-    async def echo(doc, body):
-        return doc, body
+    @handlers.on("echo")
+    async def echo(document, body):
+        return document, body
 
-    @verbs.on("no")
-    async def no(doc, body):
+    @handlers.on("no")
+    async def no(document, body):
         raise CallRefusedError(3003, "why")
 
-    @verbs.on("bad")
-    async def bad(doc, body):
+    @handlers.on("bad")
+    async def bad(document, body):
         raise ZeroDivisionError("x")
 
-    @verbs.on("never")
-    async def never(doc, body):
+    @handlers.on("never")
+    async def never(document, body):
         await asyncio.get_running_loop().create_future()
 
-    return TcpNetwork().server(verbs, open_logs("t", "CRITICAL"), counters, identity), counters
+    return TcpNetwork().server(handlers, open_logs("t", "CRITICAL"), counters, identity), counters
 
 
 def test_calls_and_answers(run):
     async def go():
-        desk, counters = build()
-        await desk.open("127.0.0.1:0")
-        lines = ConnectionPool(counters)
-        line = lines.to(f"127.0.0.1:{desk.port()}")
-        outs = await asyncio.gather(*(line.call("echo", {"n": n}, b"%d" % n) for n in range(20)))
-        assert [(c, d["n"], b) for c, d, b in outs] == [(1000, n, b"%d" % n) for n in range(20)]
-        assert (await line.call("no"))[:2] == (3003, "why")
-        assert (await line.call("bad"))[0] == 5001
-        assert (await line.call("unheard"))[0] == 2009
+        server, counters = build()
+        await server.open("127.0.0.1:0")
+        pool = ConnectionPool(counters)
+        connection = pool.to(f"127.0.0.1:{server.port()}")
+        results = await asyncio.gather(*(connection.call("echo", {"n": n}, b"%d" % n) for n in range(20)))
+        assert [(code, document["n"], body) for code, document, body in results] == [
+            (1000, n, b"%d" % n) for n in range(20)
+        ]
+        assert (await connection.call("no"))[:2] == (3003, "why")
+        assert (await connection.call("bad"))[0] == 5001
+        assert (await connection.call("unheard"))[0] == 2009
         with pytest.raises(CallError) as e:
-            await line.call("never", timeout_s=0.05)
+            await connection.call("never", timeout_s=0.05)
         assert e.value.sent
-        lines.end()
-        await desk.close()
+        pool.end()
+        await server.close()
 
     run(go())
 
 
 def test_damaged_bytes_end_one_connection_only(run):
     async def go():
-        desk, counters = build()
-        await desk.open("127.0.0.1:0")
-        lines = ConnectionPool(counters)
-        good = lines.to(f"127.0.0.1:{desk.port()}")
+        server, counters = build()
+        await server.open("127.0.0.1:0")
+        pool = ConnectionPool(counters)
+        good = pool.to(f"127.0.0.1:{server.port()}")
         await good.call("echo", 1)
-        rd, wr = await asyncio.open_connection("127.0.0.1", desk.port())
-        wr.write(b"\x00\x00\x00\x02abcdXY")
-        assert await rd.read() == b""
+        reader, writer = await asyncio.open_connection("127.0.0.1", server.port())
+        writer.write(b"\x00\x00\x00\x02abcdXY")
+        assert await reader.read() == b""
         assert (await good.call("echo", 2))[1] == 2 and counters.counts["rpc.bad_frame"] == 1
-        lines.end()
-        await desk.close()
+        pool.end()
+        await server.close()
 
     run(go())
 
 
 def test_a_late_or_doubled_answer_finds_nobody(run):
-    async def serve(rd, wr):
-        env = await read_frame(rd)
-        ans = pack(Envelope(call=env.call, code=1000, head=b"1"))
-        wr.write(pack(Envelope(call=env.call + (1 << 20), code=1000, head=b"9")) + ans + ans)
-        env = await read_frame(rd)
-        wr.write(ans + pack(Envelope(call=env.call, code=1000, head=b"2")))
+    async def serve(reader, writer):
+        envelope = await read_frame(reader)
+        encoded_answer = pack(Envelope(call=envelope.call, code=1000, head=b"1"))
+        writer.write(
+            pack(Envelope(call=envelope.call + (1 << 20), code=1000, head=b"9")) + encoded_answer + encoded_answer
+        )
+        envelope = await read_frame(reader)
+        writer.write(encoded_answer + pack(Envelope(call=envelope.call, code=1000, head=b"2")))
 
     async def go():
-        srv = await asyncio.start_server(serve, "127.0.0.1", 0)
+        listener = await asyncio.start_server(serve, "127.0.0.1", 0)
         counters = Counters()
-        lines = ConnectionPool(counters)
-        line = lines.to(f"127.0.0.1:{srv.sockets[0].getsockname()[1]}")
-        assert (await line.call("x"))[1] == 1
-        assert (await line.call("x"))[1] == 2
+        pool = ConnectionPool(counters)
+        connection = pool.to(f"127.0.0.1:{listener.sockets[0].getsockname()[1]}")
+        assert (await connection.call("x"))[1] == 1
+        assert (await connection.call("x"))[1] == 2
         assert counters.counts["rpc.late_answer"] == 3  # another turn's, the doubled one, the first call's once more
-        lines.end()
-        srv.close()
+        pool.end()
+        listener.close()
 
     run(go())
 
@@ -167,34 +175,34 @@
     async def go():
         gate = asyncio.Event()
 
-        async def serve(rd, wr):
-            late = await read_frame(rd)
-            env = await read_frame(rd)
+        async def serve(reader, writer):
+            late = await read_frame(reader)
+            envelope = await read_frame(reader)
             await gate.wait()
-            for call, head in ((late.call, b"1"), (env.call, b"2")):
-                wr.write(pack(Envelope(call=call, code=1000, head=head)))
+            for call, head in ((late.call, b"1"), (envelope.call, b"2")):
+                writer.write(pack(Envelope(call=call, code=1000, head=head)))
 
-        srv = await asyncio.start_server(serve, "127.0.0.1", 0)
+        listener = await asyncio.start_server(serve, "127.0.0.1", 0)
         counters = Counters()
-        lines = ConnectionPool(counters)
-        line = lines.to(f"127.0.0.1:{srv.sockets[0].getsockname()[1]}")
+        pool = ConnectionPool(counters)
+        connection = pool.to(f"127.0.0.1:{listener.sockets[0].getsockname()[1]}")
         with pytest.raises(CallError):
-            await line.call("x", timeout_s=0.01)
-        nxt = asyncio.ensure_future(line.call("y", timeout_s=30))
+            await connection.call("x", timeout_s=0.01)
+        following = asyncio.ensure_future(connection.call("y", timeout_s=30))
         gate.set()
-        assert (await nxt)[1] == 2 and counters.counts["rpc.late_answer"] == 1
-        lines.end()
-        srv.close()
+        assert (await following)[1] == 2 and counters.counts["rpc.late_answer"] == 1
+        pool.end()
+        listener.close()
 
     run(go())
 
 
 def test_dead_port_is_known_as_not_sent(run):
     async def go():
-        srv = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
-        port = srv.sockets[0].getsockname()[1]
-        srv.close()
-        await srv.wait_closed()
+        listener = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
+        port = listener.sockets[0].getsockname()[1]
+        listener.close()
+        await listener.wait_closed()
         with pytest.raises(CallError) as e:
             await ConnectionPool(Counters()).to(f"127.0.0.1:{port}").call("x")
         assert not e.value.sent
@@ -221,7 +229,7 @@
     async def go():
         server, counters = build(identity)
         ran = []
-        server.handlers.on("mark")(lambda doc, body: ran.append(doc) or asyncio.sleep(0))
+        server.handlers.on("mark")(lambda document, body: ran.append(document) or asyncio.sleep(0))
         await server.open("127.0.0.1:0")
         pool = TcpNetwork().pool(counters)
         answer = await pool.to(f"127.0.0.1:{server.port()}").call("mark", 1, to=to)
@@ -241,7 +249,7 @@
     async def go():
         server, counters = build()
         server.now, ran = clock.now, []
-        server.handlers.on("mark")(lambda doc, body: ran.append(doc) or asyncio.sleep(0))
+        server.handlers.on("mark")(lambda document, body: ran.append(document) or asyncio.sleep(0))
         arrived = clock.now()
         clock.at += waited_s
         await server._run(Envelope(call=1, verb="mark", within_ms=within_ms), Sink(), arrived)
@@ -257,8 +265,8 @@
         return True
 
 
-def answer(call, doc):
-    return pack(Envelope(call=call.call, code=1000, head=doc))
+def answer(call, document):
+    return pack(Envelope(call=call.call, code=1000, head=document))
 
 
 DAMAGED = bytearray(answer(Envelope(call=1), b"1"))
@@ -366,7 +374,7 @@
         server, counters = build()
 
         @server.handlers.on("long")
-        async def long(doc, body):
+        async def long(document, body):
             return "x" * 5000
 
         await server.open("127.0.0.1:0")
