--- a/archhatch/consensus/acceptor.py
+++ b/archhatch/consensus/acceptor.py
@@ -1,6 +1,6 @@
 """The voting side of a register: promises and accepted states.
 
-Memory follows the disk. A promise or a state counts here, and is told to others, only once its record is synced. When
+Memory follows the disk. A promise or a state counts here, and is answered, only once its record is synced. When
 the append fails, nothing has changed: the proposer gets no answer, and a second try writes the record again. The record
 of a failed try may still be found after a restart; that is the same as an answer that was lost on its way.
 """
@@ -90,7 +90,7 @@
         number = ProposalNumber.from_wire(proposal_number)
         async with self.lock:
             if number < self.promised:
-                return self._refuse("part.prepare_refused")
+                return self._refuse("consensus.prepare_refused")
             if number > self.promised:
                 await self._append(orjson.dumps({REGISTER_KEY: self.shard, PROMISED_KEY: number.to_wire()}))
                 self.promised = number
@@ -109,11 +109,11 @@
         number = ProposalNumber.from_wire(proposal_number)
         async with self.lock:
             if number < self.promised:
-                return self._refuse("part.accept_refused")
+                return self._refuse("consensus.accept_refused")
             if self.state is not None and number == self.proposal_number:
                 version = RegisterState(state).version
                 if version < self.version:
-                    return self._refuse("part.accept_stale")
+                    return self._refuse("consensus.accept_stale")
                 if version == self.version:  # a repeated message: one number never gives a version to two states
                     return AcceptedAnswer().to_document()
             await self._append(_state_record(self.shard, number, number, state))
@@ -125,7 +125,7 @@
     async def confirm(self, proposal_number: Sequence) -> dict:
         """Tells whether nothing higher than this number was promised here.
 
-        A promise that is on its way to the disk has not been told to anyone, so it need not be waited for.
+        A promise that is on its way to the disk has not been answered yet, so it need not be waited for.
 
         Args:
             proposal_number: The number, as a message holds it.
@@ -135,7 +135,7 @@
         """
         is_confirmed = ProposalNumber.from_wire(proposal_number) == self.promised
         if not is_confirmed:
-            self.counters.add("part.confirm_refused")
+            self.counters.add("consensus.confirm_refused")
         return PromisedAnswer(is_confirmed, self.promised).to_document()
 
     def _refuse(self, counter: str) -> dict:
--- a/archhatch/consensus/proposer.py
+++ b/archhatch/consensus/proposer.py
@@ -204,7 +204,7 @@
                 try:
                     await self._run_batch(batch)
                 except Exception as error:  # noqa: BLE001 - the top of a task: its callers must not wait for ever
-                    self.counters.add("part.fault")
+                    self.counters.add("consensus.fault")
                     for command in batch:
                         command.fail(UnclearResultError(f"{self.shard}: {error!r}"))
 
@@ -288,7 +288,7 @@
             return True
         if any(not answer.is_ok for answer in answers.values()):
             self._discard_preparation()  # a node promised a higher number: the next attempt goes above it
-        self.counters.add("part.learner_unreachable")
+        self.counters.add("consensus.learner_unreachable")
         return False
 
     # -- rounds
@@ -334,7 +334,7 @@
             lambda answers: is_quorum(set(answers) | promises.voter_ids, group.document),
         )
         if any(not answer.is_ok for answer in answers.values()):
-            self.counters.add("part.lost_race")
+            self.counters.add("consensus.lost_race")
             return False
         promises.add(answers)
         return is_quorum(promises.voter_ids, group.document)
@@ -342,12 +342,12 @@
     def _take_lead(self, proposal_number: ProposalNumber, state: RegisterState) -> bool:
         """Keeps a number that was promised; refuses a state older than the one known to be chosen."""
         if state.version < self._chosen_version():
-            self.counters.add("part.older_than_chosen")  # these voters were left behind by a change of the group
+            self.counters.add("consensus.older_than_chosen")  # these voters were left behind by a change of the group
             return False
         self.prepared_number = proposal_number
         self.state = state
         self.is_committed = False
-        self.counters.add("part.prepared")
+        self.counters.add("consensus.prepared")
         return True
 
     async def _accept(self, state: RegisterState, required: Collection[str] = ()) -> bool:
@@ -373,7 +373,7 @@
             self._publish(self.shard, state.document)
             return True
         self._discard_preparation()
-        self.counters.add("part.accept_failed")
+        self.counters.add("consensus.accept_failed")
         return False
 
     async def _confirm(self) -> bool:
--- a/archhatch/consensus/voter_poll.py
+++ b/archhatch/consensus/voter_poll.py
@@ -66,18 +66,18 @@
     def _collect(self, voter_id: str, task: asyncio.Task, answers: Answers) -> None:
         """Adds one answer, if the very node that was meant gave it; a call that failed is no answer."""
         if task.exception() is not None:
-            self.counters.add("part.ask_failed")
+            self.counters.add("consensus.ask_failed")
             return
         document = task.result()
         if document is None:
             return
         answer = VoterAnswer.from_document(document)
         if answer.voter_id != voter_id:
-            self.counters.add("part.other_incarnation")  # another node took over the voter's address
+            self.counters.add("consensus.other_incarnation")  # another node took over the voter's address
             return
         answers[voter_id] = answer
 
     def _discard_late(self, task: asyncio.Task) -> None:
         self._late.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.counters.add("part.ask_failed")
+            self.counters.add("consensus.ask_failed")
--- a/archhatch/wal/generation.py
+++ b/archhatch/wal/generation.py
@@ -115,11 +115,11 @@
         with contextlib.suppress(OSError):
             self.files.close(self.handle)
 
-    def _write(self, parts: Iterable[bytes], offset: int) -> int:
+    def _write(self, frame_parts: Iterable[bytes], offset: int) -> int:
         """Writes in chunks of bounded size and returns the offset behind the last one."""
         chunk = bytearray()
-        for part in parts:
-            chunk += part
+        for frame_part in frame_parts:
+            chunk += frame_part
             if len(chunk) >= CHUNK_BYTES:
                 offset = self._write_chunk(chunk, offset)
                 chunk = bytearray()
--- a/tests/consensus/test_proposal_number.py
+++ b/tests/consensus/test_proposal_number.py
@@ -1,4 +1,4 @@
-"""A proposer that restarts while its disk lagged never uses a ballot of its earlier life again."""
+"""A proposer that restarts while its disk lagged never uses a proposal number of its earlier incarnation again."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 import pytest
 from tests.support.fakes import MemBook
 
-from archhatch.consensus import Acceptor, ProposalNumber, Commands, Proposer, UnclearResultError
+from archhatch.consensus import Acceptor, Commands, Proposer, UnclearResultError
 from archhatch.runtime import Counters
 
 VOTERS = dict(zip("abc", "abc"))
@@ -49,21 +49,21 @@
             self.start(name)
 
     def start(self, name):
-        """A life of a voter begins with what its disk holds."""
+        """An incarnation of a voter begins with what its disk holds."""
         acceptor = self.acceptors[name] = Acceptor("plan", self.disks[name], Counters())
         for raw in self.disks[name].raws:
             acceptor.adopt(orjson.loads(raw))
 
     def proposer(self, name, incarnation):
-        """The proposer of one life of a node."""
+        """The proposer of one incarnation of a node."""
 
-        async def ask(address, verb, doc):
+        async def ask(address, verb, document):
             if {(name, address, verb), (name, address, None)} & self.cut:
                 return None
-            doc = orjson.loads(orjson.dumps(doc))
-            rest = [doc["state"]] if verb == "part.accept" else []
+            document = orjson.loads(orjson.dumps(document))
+            rest = [document["state"]] if verb == "part.accept" else []
             call = getattr(self.acceptors[address], verb.removeprefix("part."))
-            return {"me": address, **await call(doc["ballot"], *rest)}
+            return {"me": address, **await call(document["ballot"], *rest)}
 
         base = {"stamp": 0, "val": {}, "voters": VOTERS, "prev": None}
         return Proposer(
@@ -97,32 +97,3 @@
         assert await group.proposer("b", "3").execute("get", {}) == (1000, "Y")
 
     run(go())
-
-
-@pytest.mark.parametrize(
-    "promised, asked, ok",
-    [
-        ((5, "a", "1"), (5, "a", "1"), True),  # a repeated message
-        ((5, "a", "2"), (5, "a", "1"), False),
-        ((5, "a", "1"), (5, "a", "2"), True),  # another life, another ballot
-        ((5, "a"), (5, "a", "1"), True),
-        ((5, "b"), (5, "a", "1"), False),
-    ],
-)  # promises of earlier releases
-def test_ballots_of_lives_are_ordered_without_ties(run, promised, asked, ok):
-    async def go():
-        acceptor = Acceptor("plan", MemBook(), Counters())
-        assert (await acceptor.prepare(promised))["ok"]
-        assert (await acceptor.prepare(asked))["ok"] is ok
-        assert acceptor.promised == max(ProposalNumber.from_wire(promised), ProposalNumber.from_wire(asked))
-
-    run(go())
-
-
-def test_one_ballot_gives_a_version_to_one_state():
-    """An accept that comes twice is answered without a second write."""
-    acceptor = Acceptor("plan", MemBook(), Counters())
-    state = {"stamp": 1, "val": {"x": 1}, "voters": VOTERS, "prev": None}
-    for _ in range(2):
-        assert asyncio.run(acceptor.accept((1, "a", "1"), state))["ok"]
-    assert len(acceptor.wal.raws) == 1
--- a/tests/jobs/test_record_store.py
+++ b/tests/jobs/test_record_store.py
@@ -4,7 +4,7 @@
 
 import pytest
 from tests.support.fakes import MemBook
-from tests.support.simulated_disk import InlineWorker, SimDisk
+from tests.support.simulated_disk import InlineWorker, InMemoryDisk
 
 from archhatch.jobs import Record, RecordStore
 from archhatch.runtime import Counters
@@ -171,7 +171,7 @@
 @pytest.mark.parametrize("broken", [False, True])
 def test_a_rewrite_amid_writes_loses_nothing_acknowledged(run, clock, turns, broken):
     async def go():
-        disk = SimDisk()
+        disk = InMemoryDisk()
         record_store = real(disk, clock)
         await record_store.take_id("s")
         disk.fails = lambda kind, n: broken and kind == "datasync" and n == 3
@@ -191,7 +191,7 @@
             await asyncio.sleep(0)
         await record_store.append([END])
         await record_store.wal.close()
-        disk.power(0)
+        disk.lose_power(0)
         again = real(disk, clock)
         assert told(again) == told(record_store) and again.id == "s"
         await again.wal.close()
@@ -203,7 +203,7 @@
 @pytest.mark.parametrize("kind", ["pwrite", "datasync", "sync", "sync_folder"])
 def test_an_id_counts_once_the_disk_has_it(run, clock, kind, nth):
     async def go():
-        disk = SimDisk()
+        disk = InMemoryDisk()
         try:
             record_store = real(disk, clock)
             record_store.wal.snapshot = None  # nothing mends the log by itself
@@ -218,7 +218,7 @@
             await record_store.wal.close()
         except LogError:
             return
-        disk.power(0)
+        disk.lose_power(0)
         again = real(disk, clock)
         assert told(again) == told_last
         await again.wal.close()
@@ -229,7 +229,7 @@
 @pytest.mark.parametrize("limit, size, taken", [(0, 90_000, True), (100_000, 500, True), (100_000, 60_000, None)])
 def test_a_new_lot_leaves_the_reserve(run, clock, limit, size, taken):
     async def go():
-        record_store = real(SimDisk(), clock, limit_bytes=limit)
+        record_store = real(InMemoryDisk(), clock, limit_bytes=limit)
         assert await record_store.append([record("L", body=bytes(size)), RESULT, END]) == [taken, True, True]
         assert await record_store.append([record("L", body=bytes(size))]) == [taken]
         assert record_store.admits("other", size) is (taken is True)
--- a/tests/support/simulated_disk.py
+++ b/tests/support/simulated_disk.py
@@ -8,13 +8,16 @@
 from collections import Counter
 
 
-class Inode:
+class File:
     def __init__(self):
-        self.data, self.safe = bytearray(), bytearray()
-        self.ops, self.limbo = [], []  # since the last sync; what a failed sync left in doubt for good
+        self.data = bytearray()  # what calls see
+        self.durable = bytearray()  # what a loss of power leaves
+        self.unsynced = []  # changes since the last sync
+        self.doomed = []  # changes that a failed sync left in doubt for good
 
 
-def play(data, op):
+def apply_change(data, op):
+    """Applies a write (offset, bytes) or a truncation (size, None)."""
     at, raw = op
     if raw is None:
         del data[at:]
@@ -24,22 +27,29 @@
         data[at : at + len(raw)] = raw
 
 
-class SimDisk:
-    """The calls of OsFiles. `fails(kind, count)` says whether the count-th call of a kind fails; from the `dies`-th
-    call on (of all kinds) the process is dead, and nothing has an effect; `room` bounds all bytes, `most` one write."""
+class InMemoryDisk:
+    """The file calls of a log (LogFiles), with faults.
+
+    Attributes:
+        fails: Returns whether the n-th call of a kind fails.
+        dies_at_call: From this call on, of all kinds, the process is dead and nothing has an effect; None for never.
+        capacity_bytes: Bounds the bytes of all files; None for no bound.
+        max_write_bytes: Bounds one write; None for no bound.
+    """
 
     def __init__(self):
-        self.names, self.safe, self.name_ops, self.handles = {}, {}, [], {}
-        self.counts, self.fails, self.room, self.most, self.dies = Counter(), lambda kind, n: False, None, None, None
+        self.names, self.durable, self.unsynced_names, self.handles = {}, {}, [], {}
+        self.counts, self.fails = Counter(), lambda kind, n: False
+        self.capacity_bytes = self.max_write_bytes = self.dies_at_call = None
         self._next = itertools.count(3)
 
     @property
-    def dead(self):
-        return self.dies is not None and self.counts.total() >= self.dies
+    def is_dead(self):
+        return self.dies_at_call is not None and self.counts.total() >= self.dies_at_call
 
     def call(self, kind):
         self.counts[kind] += 1
-        if self.dead:
+        if self.is_dead:
             raise OSError(errno.EIO, "this process is dead")
         if self.fails(kind, self.counts[kind]):
             raise OSError(errno.EIO, f"{kind} failed")
@@ -58,8 +68,8 @@
     def open(self, path, create):
         self.call("open")
         if create:
-            self.names[path] = Inode()
-            self.name_ops.append((path, self.names[path]))
+            self.names[path] = File()
+            self.unsynced_names.append((path, self.names[path]))
         handle = next(self._next)
         self.handles[handle] = self.names[path]
         return handle
@@ -71,38 +81,38 @@
         return bytes(self.handles[handle].data[at : at + count])
 
     def pwrite(self, handle, data, at):
-        if self.dead:
+        if self.is_dead:
             raise OSError(errno.EIO, "this process is dead")
-        node, data = self.handles[handle], bytes(data)[: self.most]
+        node, data = self.handles[handle], bytes(data)[: self.max_write_bytes]
         old = max(0, len(node.data) - at)  # bytes that are written over need no room
-        if self.room is not None and len(data) > old:
-            data = data[: old + max(0, self.room - sum(len(n.data) for n in self.names.values()))]
+        if self.capacity_bytes is not None and len(data) > old:
+            data = data[: old + max(0, self.capacity_bytes - sum(len(n.data) for n in self.names.values()))]
             if not data:
                 raise OSError(errno.ENOSPC, "no space left on device")
         half = len(data) // 2  # a loss of power may tear it
         for op in ((at, data[:half]), (at + half, data[half:])):
-            play(node.data, op)
-            node.ops.append(op)
+            apply_change(node.data, op)
+            node.unsynced.append(op)
         self.call("pwrite")  # one that fails, or in which the process dies, has written all the same
         return len(data)
 
     def truncate(self, handle, size):
         self.call("truncate")
         node = self.handles[handle]
-        play(node.data, (size, None))
-        node.ops.append((size, None))
+        apply_change(node.data, (size, None))
+        node.unsynced.append((size, None))
 
     def datasync(self, handle, kind="datasync"):
         node = self.handles[handle]
         try:
             self.call(kind)
         except OSError:
-            if not self.dead:
-                node.limbo, node.ops = node.limbo + node.ops, []  # no later sync covers these
+            if not self.is_dead:
+                node.doomed, node.unsynced = node.doomed + node.unsynced, []  # no later sync covers these
             raise
-        ops, node.ops = node.ops, []
+        ops, node.unsynced = node.unsynced, []
         for op in ops:
-            play(node.safe, op)
+            apply_change(node.durable, op)
 
     def sync(self, handle):
         self.datasync(handle, "sync")
@@ -114,42 +124,46 @@
     def remove(self, path):
         self.call("remove")
         del self.names[path]
-        self.name_ops.append((path, None))
+        self.unsynced_names.append((path, None))
 
     def sync_folder(self, folder):
         self.call("sync_folder")
-        self._play_names(lambda: True)
+        self._apply_names(lambda: True)
 
     # -- ends of a process
 
-    def _play_names(self, keep):
-        for path, node in self.name_ops:
+    def _apply_names(self, keep):
+        for path, node in self.unsynced_names:
             if keep() and node is not None:
-                self.safe[path] = node
+                self.durable[path] = node
             elif node is None and keep():
-                self.safe.pop(path, None)
-        self.name_ops = []
+                self.durable.pop(path, None)
+        self.unsynced_names = []
 
     def kill(self):
         """The process dies; the system keeps what it wrote."""
         self.handles.clear()
-        self.fails, self.dies = lambda kind, n: False, None
+        self.fails, self.dies_at_call = lambda kind, n: False, None
+
+    def lose_power(self, seed):
+        """Power is lost.
 
-    def power(self, seed):
-        """Power is lost: 0 loses all that was not synced, 1 keeps it, "names" keeps only names and "bytes" only bytes;
-        other seeds toss a coin for each thing."""
+        Args:
+            seed: 0 loses all that was not synced, 1 keeps it, "names" keeps only names and "bytes" only bytes; any
+                other seed decides at random for each change.
+        """
         self.kill()
         rng = random.Random(seed)
         keep = {0: lambda: False, 1: lambda: True, "names": lambda: False, "bytes": lambda: True}.get(
             seed, lambda: rng.random() < 0.5
         )
-        self._play_names({"names": lambda: True, "bytes": lambda: False}.get(seed, keep))
-        self.names = dict(self.safe)
+        self._apply_names({"names": lambda: True, "bytes": lambda: False}.get(seed, keep))
+        self.names = dict(self.durable)
         for node in {id(n): n for n in self.names.values()}.values():
-            for op in node.limbo + node.ops:
+            for op in node.doomed + node.unsynced:
                 if keep():
-                    play(node.safe, op)
-            node.data, node.ops, node.limbo = bytearray(node.safe), [], []
+                    apply_change(node.durable, op)
+            node.data, node.unsynced, node.doomed = bytearray(node.durable), [], []
 
 
 class InlineWorker:
--- a/tests/wal/test_log.py
+++ b/tests/wal/test_log.py
@@ -2,25 +2,25 @@
 
 from archhatch.wal import WriteAheadLog, pack_record, read_records
 
-RECS = [b"one", b"", b"three" * 100]
-WHOLE = b"".join(pack_record(r) for r in RECS)
+RECORDS = [b"one", b"", b"three" * 100]
+COMPLETE_LOG = b"".join(pack_record(r) for r in RECORDS)
 
 
 @pytest.mark.parametrize(
     "data, good, behind",
     [
-        (WHOLE, 3, False),
-        (WHOLE[:-1], 2, False),  # torn in the last record
-        (WHOLE + b"\0" * 40, 3, False),  # zeros behind the end
-        (WHOLE + WHOLE[:7], 3, False),  # torn in a head
+        (COMPLETE_LOG, 3, False),
+        (COMPLETE_LOG[:-1], 2, False),  # torn in the last record
+        (COMPLETE_LOG + b"\0" * 40, 3, False),  # zeros behind the end
+        (COMPLETE_LOG + COMPLETE_LOG[:7], 3, False),  # torn in a head
         (b"", 0, False),
-        (WHOLE[:14] + b"X" + WHOLE[15:], 0, True),  # damage before good records
-        (WHOLE + b"junk" + pack_record(b"later"), 3, True),
+        (COMPLETE_LOG[:14] + b"X" + COMPLETE_LOG[15:], 0, True),  # damage before good records
+        (COMPLETE_LOG + b"junk" + pack_record(b"later"), 3, True),
     ],
 )
 def test_read(data, good, behind):
     records, end, later = read_records(data)
-    assert records == RECS[:good] and later is behind
+    assert records == RECORDS[:good] and later is behind
     assert data[:end] == b"".join(pack_record(r) for r in records)
 
 
--- a/tests/wal/test_log_faults.py
+++ b/tests/wal/test_log_faults.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from tests.support.simulated_disk import InlineWorker, SimDisk
+from tests.support.simulated_disk import InlineWorker, InMemoryDisk
 
 from archhatch.runtime import Counters
 from archhatch.wal import LogError, LogTruncateError, LogSyncError, LogWriteError, WriteAheadLog, generations
@@ -63,7 +63,7 @@
 
 
 def end(disk, how):
-    disk.kill() if how == "kill" else disk.power(how)
+    disk.kill() if how == "kill" else disk.lose_power(how)
 
 
 def check(disk, acked):
@@ -87,7 +87,7 @@
         pass  # a start that fails ends the process
     await owner.log.close()
     assert not disk.handles, "a handle leaked"
-    unsafe = disk.counts["truncate"] and disk.fails("truncate", disk.counts["truncate"]) or disk.dead
+    unsafe = disk.counts["truncate"] and disk.fails("truncate", disk.counts["truncate"]) or disk.is_dead
     end(disk, how)
     if how == "kill" and not unsafe:  # no trace of what was refused
         log = WriteAheadLog("/data", "core", files=disk, worker=InlineWorker())
@@ -99,12 +99,12 @@
 async def lives(fails, dies, how, loss):
     """A life that meets a fault, one that only reads and ends by a loss of power, and a whole one: what is read at a
     start counts as told."""
-    disk = SimDisk()
-    disk.fails, disk.dies = lambda kind, n: fails(disk, kind, n), dies
+    disk = InMemoryDisk()
+    disk.fails, disk.dies_at_call = lambda kind, n: fails(disk, kind, n), dies
     before = await one_day(disk, how)
     seen = disk.counts.copy()
     told = check(disk, before)
-    disk.power(loss)
+    disk.lose_power(loss)
     check(disk, told)
     disk.kill()
     again = await one_day(disk, how)
@@ -158,12 +158,12 @@
 def test_a_rewrite_cut_off_at_any_byte_loses_nothing(run, how):
     async def go():
         for cut in range(0, 160):
-            disk = SimDisk()
+            disk = InMemoryDisk()
             owner = Owner(disk)
             list(owner.log.load())
             owner.log.start()
             await owner.put(b"first", b"second" * 9)
-            disk.room = sum(len(n.data) for n in disk.names.values()) + cut
+            disk.capacity_bytes = sum(len(n.data) for n in disk.names.values()) + cut
             disk.fails = lambda k, n, cut=cut: cut % 2 and k in ("remove", "truncate")
             await owner.rewrite()
             await owner.put(b"after")
@@ -177,8 +177,8 @@
 @pytest.mark.parametrize("most", [1, 3, 1000])
 def test_short_writes_are_gone_on_with(run, most):
     async def go():
-        disk = SimDisk()
-        disk.most = most
+        disk = InMemoryDisk()
+        disk.max_write_bytes = most
         acked = await one_day(disk, 0)
         assert len(acked) == 14 and check(disk, acked) == acked
 
@@ -187,16 +187,16 @@
 
 def test_a_full_disk_refuses_and_takes_again_by_itself(run):
     async def go():
-        disk, owner = SimDisk(), None
+        disk, owner = InMemoryDisk(), None
         owner = Owner(disk)
         list(owner.log.load())
         owner.log.start()
         await owner.put(b"a" * 20)
-        disk.room = 40
+        disk.capacity_bytes = 40
         with pytest.raises(LogWriteError):
             await owner.log.append(b"b" * 20)
         assert not owner.log.is_healthy and not owner.log.is_broken and owner.log.size == 32
-        disk.room = None
+        disk.capacity_bytes = None
         while not owner.log.is_healthy:
             await asyncio.sleep(0)
         await owner.put(b"b" * 20)
@@ -212,7 +212,7 @@
 )
 def test_a_generation_that_was_given_up_takes_nothing_until_a_new_one_stands(run, failing, fault):
     async def go():
-        disk, owner = SimDisk(), None
+        disk, owner = InMemoryDisk(), None
         owner = Owner(disk)
         list(owner.log.load())
         owner.log.start()
@@ -227,7 +227,7 @@
             await asyncio.sleep(0)
         await owner.put(b"e")
         await owner.log.close()
-        disk.power(0)
+        disk.lose_power(0)
         assert check(disk, owner.acked) == [b"a", b"e"]
 
     run(go())
@@ -235,7 +235,7 @@
 
 def test_a_stall_shows_and_ends(run, clock):
     async def go():
-        disk = SimDisk()
+        disk = InMemoryDisk()
         owner = Owner(disk, clock=clock)
         list(owner.log.load())
         owner.log.start()
