--- a/archhatch/consensus/__init__.py
+++ b/archhatch/consensus/__init__.py
@@ -7,10 +7,10 @@
 
 from .acceptor import Acceptor
 from .commands import Commands
-from .group import is_majority, is_quorum, members
+from .group import is_majority, is_quorum
 from .proposal_number import ProposalNumber
 from .proposer import Proposer, UnclearResultError
-from .register_state import RegisterState
+from .register_state import RegisterState, members
 
 __all__ = [
     "Acceptor",
--- a/archhatch/consensus/acceptor.py
+++ b/archhatch/consensus/acceptor.py
@@ -16,7 +16,7 @@
 from ..runtime import Counters
 from .messages import AcceptedAnswer, PromiseAnswer, PromisedAnswer
 from .proposal_number import ZERO, ProposalNumber
-from .register_state import RegisterState
+from .register_state import VERSION_KEY
 
 # keys of a record in the log
 REGISTER_KEY = "p"
@@ -76,7 +76,7 @@
     @property
     def version(self) -> int:
         """The version of the accepted state; 0 without one."""
-        return RegisterState(self.state).version if self.state is not None else 0
+        return self.state[VERSION_KEY] if self.state is not None else 0  # by key: read at each ping
 
     async def prepare(self, proposal_number: Sequence) -> dict:
         """Promises to accept nothing under a lower number.
@@ -111,7 +111,7 @@
             if number < self.promised:
                 return self._refuse("consensus.accept_refused")
             if self.state is not None and number == self.proposal_number:
-                version = RegisterState(state).version
+                version = state[VERSION_KEY]
                 if version < self.version:
                     return self._refuse("consensus.accept_stale")
                 if version == self.version:  # a repeated message: one number never gives a version to two states
--- a/archhatch/consensus/group.py
+++ b/archhatch/consensus/group.py
@@ -5,7 +5,7 @@
 from collections.abc import Container, Iterable, Sized
 from typing import Protocol
 
-from .register_state import RegisterState
+from .register_state import PREVIOUS_VOTERS_KEY, VOTERS_KEY
 
 
 class Voters(Iterable[str], Sized, Protocol):
@@ -31,13 +31,8 @@
         node_ids: Ids of nodes that agree.
         state: The document of a register's state.
     """
-    view = RegisterState(state)
-    if not is_majority(node_ids, view.voters):
+    # read by key, without a view: a control node asks this for each call that it answers
+    if not is_majority(node_ids, state[VOTERS_KEY]):
         return False
-    previous = view.previous_voters
+    previous = state[PREVIOUS_VOTERS_KEY]
     return not previous or is_majority(node_ids, previous)
-
-
-def members(state: dict) -> dict[str, str]:
-    """Returns the voters that a state's document names with their addresses, the previous ones included."""
-    return RegisterState(state).all_voters()
--- a/archhatch/consensus/register_state.py
+++ b/archhatch/consensus/register_state.py
@@ -50,9 +50,7 @@
 
     def all_voters(self) -> dict[str, str]:
         """Returns the voters with their addresses, the previous ones included."""
-        voters = dict(self.previous_voters or {})
-        voters.update(self.voters)
-        return voters
+        return members(self.document)
 
     def with_value(self, value: dict) -> Self:
         """Returns the next version, with another value."""
@@ -68,3 +66,10 @@
 
     def _next(self, changes: dict) -> Self:
         return type(self)({**self.document, **changes, VERSION_KEY: self.version + 1})
+
+
+def members(state: dict) -> dict[str, str]:
+    """Returns the voters that a state's document names with their addresses, the previous ones included."""
+    voters = dict(state[PREVIOUS_VOTERS_KEY] or {})
+    voters.update(state[VOTERS_KEY])
+    return voters
