--- a/tests/control/test_control_safety.py
+++ b/tests/control/test_control_safety.py
@@ -1,4 +1,4 @@
-"""A control node serves on proof of contact alone; its groups bear the losses that the settings allow."""
+"""A control node serves on proof of contact alone."""
 
 import itertools
 from types import SimpleNamespace
@@ -10,7 +10,6 @@
 from archhatch.consensus import Acceptor
 from archhatch.control.agreement import Registers
 from archhatch.control.contact import MajorityContact, ServingGate
-from archhatch.consensus.reconfiguration import GroupSize, UnreachableTimeouts, GroupView, desired_group
 from archhatch.control.store_membership import StoreMembershipController
 from archhatch.membership import PeerSet
 from archhatch.runtime import Counters
@@ -65,62 +64,6 @@
     assert [gate.update(reached, set(behind), at) for at, reached, behind in seen] == serves
 
 
-SIZE3, SIZE5, WAIT = GroupSize.for_losses(1), GroupSize.for_losses(2), UnreachableTimeouts(1.5, 6.0)
-
-
-def sight(voters, spares="", leaving="", **silent):
-    return GroupView(
-        {v: f"{v}:1" for v in voters},
-        {s: f"{s}:1" for s in spares},
-        {v: silent.get(v, 0.0) for v in voters},
-        set(leaving),
-    )
-
-
-GROUPS = [  # why, what is seen, size, the group that should be (None: as it is)
-    ("whole", sight("abc"), SIZE3, None),
-    ("one spare alone bears nothing more", sight("abc", "d"), SIZE3, None),
-    ("two spares bear one loss more", sight("abc", "de"), SIZE3, "abcde"),
-    ("founders that are too few grow at once", sight("abc", "d"), SIZE5, "abcd"),
-    ("an even group is made odd", sight("abcd", "e"), SIZE3, "abcde"),
-    ("as many as wanted", sight("abcde", "f"), SIZE3, None),
-    ("silent for a moment", sight("abc", "d", c=1.0), SIZE3, None),
-    ("silent for long", sight("abc", "d", c=1.5), SIZE3, "abd"),
-    ("the longest silent first", sight("abcde", "f", b=2.0, c=3.0), SIZE5, "abdef"),
-    ("silent, nobody to take its place", sight("abc", c=60.0), SIZE3, None),
-    ("never below what bears the losses", sight("abcde", c=60.0, d=60.0), SIZE5, None),
-    ("a spare voter that is gone is left out", sight("abcde", c=6.0), SIZE3, "abde"),
-    ("... not too soon", sight("abcde", c=5.9), SIZE3, None),
-    ("it will end and another is there", sight("abc", "d", leaving="b"), SIZE3, "acd"),
-    ("it will end, nobody is there", sight("abc", leaving="b"), SIZE3, None),
-    ("it will end and is not needed", sight("abcde", leaving="b"), SIZE3, "acde"),
-    ("one ends while another is silent", sight("abc", "d", leaving="b", c=2.0), SIZE3, "acd"),
-    ("no growth while one is silent", sight("abc", "de", c=1.0), SIZE3, None),
-]
-
-
-@pytest.mark.parametrize("why, seen, size, group", GROUPS, ids=[g[0] for g in GROUPS])
-def test_the_group_that_should_be(why, seen, size, group):
-    want = desired_group(seen, size, WAIT, BOUND)
-    assert want == (None if group is None else {v: f"{v}:1" for v in group})
-
-
-@pytest.mark.parametrize("silent, want", [(0.5, None), (0.75, {"a": "a:1", "b": "b:1", "new": "c:1"})])
-def test_a_wiped_voter_gives_its_place_to_the_node_at_its_address(silent, want):
-    seen = GroupView(VOTERS, {"new": "c:1", "other": "d:1"}, {"a": 0.0, "b": 0.0, "c": silent})
-    assert desired_group(seen, SIZE3, WAIT, BOUND) == want
-
-
-def test_a_spare_of_the_emptiest_zone_is_taken():
-    seen = GroupView(
-        VOTERS,
-        {"d": "d:1", "e": "e:1"},
-        {"a": 0.0, "b": 0.0, "c": 2.0},
-        zones={"a": "x", "b": "x", "c": "y", "d": "x", "e": "y"},
-    )
-    assert set(desired_group(seen, SIZE3, WAIT, BOUND)) == {"a", "b", "e"}
-
-
 class FailingBook(MemBook):
     """A log whose n-th append fails."""
 
