--- a/archhatch/evacuation/client.py
+++ b/archhatch/evacuation/client.py
@@ -5,6 +5,7 @@
 import asyncio
 import sys
 import tomllib
+from dataclasses import dataclass
 from urllib.parse import quote
 
 import orjson
@@ -21,13 +22,28 @@
   evacuate return ID [--reason=WHY] bring the tenant home"""
 
 
+@dataclass(frozen=True, slots=True)
+class EvacuationOptions:
+    """The options of the command line.
+
+    Attributes:
+        settings: The settings file; None for the usual place.
+        reason: cancel, return: why.
+        dry_run: plan: only say what would be taken.
+    """
+
+    settings: str | None = None
+    reason: str | None = None
+    dry_run: bool = False
+
+
 class EvacuationClient:
     """Runs one command; its status: 0 done, 1 a fault, 2 wrong use.
 
-    >>> # status = EvacuationClient(FLAGS).run(["status"])
+    >>> # status = EvacuationClient(EvacuationOptions()).run(["status"])
     """
 
-    def __init__(self, options):
+    def __init__(self, options: EvacuationOptions):
         self.options = options
         self.table = {
             ("plan", 1): self._plan,
--- a/archhatch/region_policy/client.py
+++ b/archhatch/region_policy/client.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import sys
+from dataclasses import dataclass
 from urllib.parse import quote
 
 import aiohttp
@@ -83,13 +84,38 @@
     return doc
 
 
+@dataclass(frozen=True, slots=True)
+class PolicyOptions:
+    """The options of the command line.
+
+    Attributes:
+        settings: The settings file; None for the usual place.
+        route: explain: the name of a route.
+        host: explain: the host of a request.
+        path: explain: the path of a request.
+        regions_out: explain: regions that count as out.
+        plan: explain: a configuration file; None for the one in force.
+        match: put: the version on which the policy is based; None for the newest.
+        reason: out, in: why.
+    """
+
+    settings: str | None = None
+    route: str | None = None
+    host: str | None = None
+    path: str | None = None
+    regions_out: list[str] | None = None
+    plan: str | None = None
+    match: int | None = None
+    reason: str | None = None
+
+
 class PolicyClient:
     """Runs one command; its status: 0 done, 1 a fault, 2 wrong use.
 
-    >>> # status = PolicyClient(FLAGS).run(["check", "policy.toml"])
+    >>> # status = PolicyClient(PolicyOptions()).run(["check", "policy.toml"])
     """
 
-    def __init__(self, opts):
+    def __init__(self, opts: PolicyOptions):
         self.opts = opts
         self.table = {
             ("check", 1): self._check,
