--- a/tests/wal/test_log_faults.py
+++ b/tests/wal/test_log_faults.py
@@ -11,14 +11,14 @@
 from archhatch.wal.scan import BytesSource, scan
 
 ENDS = ["kill", 0, 1, "names", "bytes", 2, 3]  # how a process ends: killed, or power lost with this seed
-LOSSES = [(how, loss) for how in ENDS for loss in ((0, "names") if how == "kill" else (0,))]
+ENDS_AND_SEEDS = [(end_by, seed) for end_by in ENDS for seed in ((0, "names") if end_by == "kill" else (0,))]
 
 
 class Owner:
     """Applies a record when its append has returned, and rewrites from that."""
 
     def __init__(self, disk, **more):
-        self.acked, self.refused, self.counters, self.worker = [], [], Counters(), InlineWorker()
+        self.acknowledged, self.refused, self.counters, self.worker = [], [], Counters(), InlineWorker()
         self.log = WriteAheadLog(
             "/data",
             "core",
@@ -28,7 +28,7 @@
             sleep=lambda timeout_s: asyncio.sleep(0),
             **more,
         )
-        self.log.snapshot = lambda: list(self.acked)
+        self.log.snapshot = lambda: list(self.acknowledged)
 
     async def put(self, *raws):
         try:
@@ -36,7 +36,7 @@
         except LogError:
             self.refused += raws
         else:
-            self.acked += raws
+            self.acknowledged += raws
 
     async def rewrite(self):
         try:
@@ -44,11 +44,11 @@
         except LogError:
             pass
 
-    async def day(self):
+    async def run_workload(self):
         """Appends alone and at once, rewrites alone and amid appends."""
-        self.acked = list(self.log.load())
+        self.acknowledged = list(self.log.load())
         self.log.start()
-        base = len(self.acked)
+        base = len(self.acknowledged)
         names = iter([b"%d-%d" % (base, n) * (1 + n * 7) for n in range(14)])
         await self.put(next(names), next(names))
         await asyncio.gather(self.put(next(names)), self.rewrite(), self.put(next(names)), self.put(next(names)))
@@ -62,11 +62,11 @@
         await self.put(next(names))
 
 
-def end(disk, how):
-    disk.kill() if how == "kill" else disk.lose_power(how)
+def end(disk, end_by):
+    disk.kill() if end_by == "kill" else disk.lose_power(end_by)
 
 
-def check(disk, acked):
+def check(disk, acknowledged):
     """All that was acknowledged is read, in order, from a generation that is whole; nothing is left lying about."""
     whole = [
         path for path, node in disk.names.items() if scan(BytesSource(bytes(node.data))).closing_offset is not None
@@ -74,41 +74,41 @@
     assert whole or "/data/core" in disk.names or not disk.names
     log = WriteAheadLog("/data", "core", files=disk, worker=InlineWorker())
     found = list(log.load())
-    assert [raw for raw in found if raw in set(acked)] == acked
+    assert [raw for raw in found if raw in set(acknowledged)] == acknowledged
     assert len(disk.handles) == 1 and set(disk.names) <= {log.path, "/data/core.damaged"}
     return found
 
 
-async def one_day(disk, how):
+async def run_process(disk, end_by):
     owner = Owner(disk)
     try:
-        await owner.day()
+        await owner.run_workload()
     except LogError:
         pass  # a start that fails ends the process
     await owner.log.close()
     assert not disk.handles, "a handle leaked"
     unsafe = disk.counts["truncate"] and disk.fails("truncate", disk.counts["truncate"]) or disk.is_dead
-    end(disk, how)
-    if how == "kill" and not unsafe:  # no trace of what was refused
+    end(disk, end_by)
+    if end_by == "kill" and not unsafe:  # no trace of what was refused
         log = WriteAheadLog("/data", "core", files=disk, worker=InlineWorker())
         assert not set(log.load()) & set(owner.refused)
         disk.kill()
-    return owner.acked
+    return owner.acknowledged
 
 
-async def lives(fails, dies, how, loss):
-    """A life that meets a fault, one that only reads and ends by a loss of power, and a whole one: what is read at a
-    start counts as told."""
+async def run_three_processes(fails, dies, end_by, seed):
+    """One process meets a fault, one only reads and ends by a loss of power, one meets none: what is read at a start
+    counts as acknowledged."""
     disk = InMemoryDisk()
     disk.fails, disk.dies_at_call = lambda kind, n: fails(disk, kind, n), dies
-    before = await one_day(disk, how)
+    before = await run_process(disk, end_by)
     seen = disk.counts.copy()
-    told = check(disk, before)
-    disk.lose_power(loss)
-    check(disk, told)
+    loaded = check(disk, before)
+    disk.lose_power(seed)
+    check(disk, loaded)
     disk.kill()
-    again = await one_day(disk, how)
-    assert again[: len(told)] == told
+    again = await run_process(disk, end_by)
+    assert again[: len(loaded)] == loaded
     check(disk, again)
     return seen
 
@@ -120,13 +120,13 @@
 @pytest.mark.parametrize("lasting, too", [(0, ""), (3, "truncate"), (3, "remove"), (40, "")])
 def test_each_call_fails_in_turn(run, kind, lasting, too):
     async def go():
-        for how, loss in LOSSES:
+        for end_by, seed in ENDS_AND_SEEDS:
             for nth in range(1, 60):
 
                 def fails(disk, k, n, nth=nth):
                     return (k == kind and nth <= n <= nth + lasting) or (k == too and disk.counts[kind] >= nth)
 
-                seen = await lives(fails, None, how, loss)
+                seen = await run_three_processes(fails, None, end_by, seed)
                 if nth > seen[kind]:
                     break
 
@@ -136,8 +136,8 @@
 @pytest.mark.parametrize(
     "kind, renewed", [("", None), ("datasync", None), ("sync", None), ("sync", 0), ("sync_folder", None)]
 )
-@pytest.mark.parametrize("how, loss", LOSSES)
-def test_the_process_dies_at_each_call(run, monkeypatch, kind, renewed, how, loss):
+@pytest.mark.parametrize("end_by, seed", ENDS_AND_SEEDS)
+def test_the_process_dies_at_each_call(run, monkeypatch, kind, renewed, end_by, seed):
     if renewed is not None:  # a rewrite must not hang on the end of the file being written again
         monkeypatch.setattr(generations, "REWRITTEN_TAIL_BYTES", renewed)
 
@@ -147,15 +147,15 @@
             def fails(disk, k, n, dies=dies):  # all that is synced shortly before fails, too
                 return k == kind and disk.counts.total() >= dies - 2
 
-            seen = await lives(fails, dies, how, loss)
+            seen = await run_three_processes(fails, dies, end_by, seed)
             if dies > seen.total():
                 break
 
     run(go(), 200)
 
 
-@pytest.mark.parametrize("how", ENDS)
-def test_a_rewrite_cut_off_at_any_byte_loses_nothing(run, how):
+@pytest.mark.parametrize("end_by", ENDS)
+def test_a_rewrite_cut_off_at_any_byte_loses_nothing(run, end_by):
     async def go():
         for cut in range(0, 160):
             disk = InMemoryDisk()
@@ -168,8 +168,8 @@
             await owner.rewrite()
             await owner.put(b"after")
             await owner.log.close()
-            end(disk, how)
-            assert check(disk, owner.acked)[:2] == [b"first", b"second" * 9]
+            end(disk, end_by)
+            assert check(disk, owner.acknowledged)[:2] == [b"first", b"second" * 9]
 
     run(go())
 
@@ -179,8 +179,8 @@
     async def go():
         disk = InMemoryDisk()
         disk.max_write_bytes = most
-        acked = await one_day(disk, 0)
-        assert len(acked) == 14 and check(disk, acked) == acked
+        acknowledged = await run_process(disk, 0)
+        assert len(acknowledged) == 14 and check(disk, acknowledged) == acknowledged
 
     run(go())
 
@@ -201,7 +201,7 @@
             await asyncio.sleep(0)
         await owner.put(b"b" * 20)
         await owner.log.close()
-        assert check(disk, owner.acked) == [b"a" * 20, b"b" * 20]
+        assert check(disk, owner.acknowledged) == [b"a" * 20, b"b" * 20]
         assert owner.counters.counts["wal.write_failed"] and owner.counters.counts["wal.recovered"] == 1
 
     run(go())
@@ -228,7 +228,7 @@
         await owner.put(b"e")
         await owner.log.close()
         disk.lose_power(0)
-        assert check(disk, owner.acked) == [b"a", b"e"]
+        assert check(disk, owner.acknowledged) == [b"a", b"e"]
 
     run(go())
 
@@ -253,21 +253,29 @@
     run(go())
 
 
-CLOSED = RecordDigest()
-CLOSED.add(pack_record(b"new")[:12])
-NEW = pack_record(b"new") + CLOSED.closing_frame()
+DIGEST = RecordDigest()
+DIGEST.add(pack_record(b"new")[:12])
+COMPLETE_REWRITE = pack_record(b"new") + DIGEST.closing_frame()
 
 
 @pytest.mark.parametrize(
     "files, found, damaged",
     [
-        ({"core": pack_record(b"old"), "core.1": NEW}, [b"new"], False),  # the newest complete one
-        ({"core": pack_record(b"old"), "core.1": NEW[:-1]}, [b"old"], False),  # cut in its closing frame
+        ({"core": pack_record(b"old"), "core.1": COMPLETE_REWRITE}, [b"new"], False),  # the newest complete one
+        ({"core": pack_record(b"old"), "core.1": COMPLETE_REWRITE[:-1]}, [b"old"], False),  # cut in its closing frame
         ({"core": pack_record(b"old"), "core.1": pack_record(b"new")}, [b"old"], False),  # no closing frame
-        ({"core": pack_record(b"old"), "core.2": NEW + pack_record(b"x"), "core.9": b""}, [b"new", b"x"], False),
-        ({"core.2": NEW, "core.1": NEW + pack_record(b"older")}, [b"new"], False),  # the older one came back
-        ({"core.2": NEW + pack_record(b"x")[:-1]}, [b"new"], False),  # a torn append
-        ({"core": pack_record(b"old"), "core.1": pack_record(b"other") + CLOSED.closing_frame()}, [b"old"], False),
+        (
+            {"core": pack_record(b"old"), "core.2": COMPLETE_REWRITE + pack_record(b"x"), "core.9": b""},
+            [b"new", b"x"],
+            False,
+        ),
+        (
+            {"core.2": COMPLETE_REWRITE, "core.1": COMPLETE_REWRITE + pack_record(b"older")},
+            [b"new"],
+            False,
+        ),  # the older one came back
+        ({"core.2": COMPLETE_REWRITE + pack_record(b"x")[:-1]}, [b"new"], False),  # a torn append
+        ({"core": pack_record(b"old"), "core.1": pack_record(b"other") + DIGEST.closing_frame()}, [b"old"], False),
         ({"core.2": pack_record(b"new") + b"rot" + pack_record(b"x")}, [b"new"], True),
     ],
 )  # nothing complete: salvaged
