--- a/archhatch/consensus/proposer.py
+++ b/archhatch/consensus/proposer.py
@@ -114,6 +114,18 @@
     >>> asyncio.run(set_and_get())
     (1000, 5)
 
+    Args:
+        shard: The name of the register.
+        node_id: The node that proposes.
+        commands: The commands by name.
+        ask: Calls another node, or this one.
+        base: Returns the document of the newest state that this node has seen, which names the voters to ask.
+        publish: Takes the register's name and the document of a state that was chosen.
+        counters: Counts what came of the rounds.
+        timeout_s: How long one round may take.
+        chosen_version: Returns the version that is known to be chosen; 0 by default.
+        incarnation: Names this process; random by default.
+
     Attributes:
         shard: The name of the register.
         node_id: The node that proposes.
@@ -140,20 +152,6 @@
         chosen_version: Callable[[], int] | None = None,
         incarnation: str | None = None,
     ) -> None:
-        """Makes a proposer.
-
-        Args:
-            shard: The name of the register.
-            node_id: The node that proposes.
-            commands: The commands by name.
-            ask: Calls another node, or this one.
-            base: Returns the document of the newest state that this node has seen, which names the voters to ask.
-            publish: Takes the register's name and the document of a state that was chosen.
-            counters: Counts what came of the rounds.
-            timeout_s: How long one round may take.
-            chosen_version: Returns the version that is known to be chosen.
-            incarnation: Names this process; random by default.
-        """
         self.shard = shard
         self.node_id = node_id
         self.commands = commands
