--- a/archhatch/capacity/probes/batch_jobs.py
+++ b/archhatch/capacity/probes/batch_jobs.py
@@ -130,16 +130,16 @@
     lines = types.SimpleNamespace(to=lambda address: Connection(kept[int(address)]))
     task_group = need("runtime", "TaskGroup")(Quiet(), kept[0].counters)
     members = {f"s{i}": {"state": "active", "addr": str(i), "zone": f"zone-{i:02d}"} for i in range(3)}
-    quorum = need("jobs", "Quorum", "enough", "pick")(2)  # two machines may be lost: three copies
-    replicator = need("jobs", "Replicator", "put")(
+    quorum = need("jobs", "Quorum", "has_enough_copies", "choose_copies")(2)  # two machines may be lost: three copies
+    replicator = need("jobs", "Replicator", "replicate")(
         "s0", kept[0].record_store, lines, lambda: members, lambda sid: True, task_group, kept[0].counters, 5.0, quorum
     )
     records = [sample(i) for i in range(n)]
 
     async def function():
         for record in records:
-            await replicator.put("service-00", 1, [record])
-        if not all(replicator.enough(record) for record in records):
+            await replicator.replicate("service-00", 1, [record])
+        if not all(replicator.has_enough_copies(record) for record in records):
             raise ValueError("a record has too few copies")
 
     yield function, 1
@@ -168,8 +168,8 @@
 
 def engines(n: int):
     """Engines of n replicas."""
-    one = need("rollout_controller", "Engines", "fold")()
-    one.fold([entry(i) for i in range(n)])
+    one = need("rollout_controller", "Engines", "apply_entries")()
+    one.apply_entries([entry(i) for i in range(n)])
     return one
 
 
@@ -177,4 +177,4 @@
 async def _engines_new(n):
     one = engines(n)
     fresh = [entry(n + i) for i in range(100)]
-    yield (lambda: one.fold(fresh)), 100
+    yield (lambda: one.apply_entries(fresh)), 100
--- a/archhatch/capacity/probes/shares.py
+++ b/archhatch/capacity/probes/shares.py
@@ -24,17 +24,17 @@
         frame = "runtime"
         head = {"lot": "a", "run": RUN, "host": "host3.example", "path": "/path3/x"}
         self.batch_job = need("jobs", "read_job")(head, orjson.dumps({**batch_job(2048, 64), "Model": MODEL}), 0.0)
-        self.batch_job.base = 0
-        self.engines = need("rollout_controller", "Engines", "fold", "of", "count")()
-        self.engines.fold([{**entry(i), "service": RUN, "models": {MODEL: 7}} for i in range(replicas)])
+        self.batch_job.base_offset = 0
+        self.engines = need("rollout_controller", "Engines", "apply_entries", "of_service", "count_of")()
+        self.engines.apply_entries([{**entry(i), "service": RUN, "models": {MODEL: 7}} for i in range(replicas)])
         self.leadership = types.SimpleNamespace(
             state="holding",
             batch_jobs={"a": self.batch_job},
-            fresh=lambda: True,
+            is_confirmed=lambda: True,
             run=RUN,
             term=1,
-            window_recs=[],
-            list_result=self._list,
+            window_records=[],
+            append_result=self._list,
             over=lambda: None,
         )
         names = [f"w{i:02d}" for i in range(WORKERS)]
@@ -62,21 +62,21 @@
         self.names, self.places, self.polls = names, places, itertools.count(1)
 
     async def _list(self, batch_job, iid, doc) -> None:
-        batch_job.done.add(iid)  # copies have a probe of their own
+        batch_job.positioned_items.add(iid)  # copies have a probe of their own
 
     async def open(self):
         """All workers say that they hold nothing; then one of them drives replicas with free places."""
-        fresh, self.leadership.fresh = self.leadership.fresh, lambda: False
+        confirmed, self.leadership.is_confirmed = self.leadership.is_confirmed, lambda: False
         for i, name in enumerate(self.names):
             await self._fetch(name, f"zone-{i:02d}", [])
-        self.leadership.fresh = fresh
+        self.leadership.is_confirmed = confirmed
         run = self.leader.runs[RUN]
-        mine = self.engines.of(RUN)
+        mine = self.engines.of_service(RUN)
         self.worker = self.leader.slots.driver_of(run, mine[0])
         left = self.places
         for e in mine:
             free = min(left, e.slots) if self.leader.slots.driver_of(run, e) == self.worker else 0
-            e.running[MODEL] = e.slots - free
+            e.running_items[MODEL] = e.slots - free
             left -= free
         if left:
             raise ValueError(f"{left} places lack")
@@ -128,7 +128,7 @@
 
     def turn(self) -> None:
         """What the leader's loop does whenever there is news of work."""
-        self.leader.slots.load_limit.heed({})
+        self.leader.slots.load_limit.update({})
         self.leader.sync()
         self.leader.recalls.recall_for_live_requests()
         self.leader.notify_workers()
--- a/archhatch/control/admin_api.py
+++ b/archhatch/control/admin_api.py
@@ -196,7 +196,7 @@
         command = "retire.get" if request.is_query else "retire.start"
         args = {
             "node": request.machine,
-            "quorum": self.node.quorum.doc(),
+            "quorum": self.node.quorum.to_document(),
             "seen": self.node.registers.version(PLAN),
         }
         return await self._run(PLAN, command, args)
--- a/archhatch/control/node.py
+++ b/archhatch/control/node.py
@@ -68,7 +68,7 @@
         self.cores = PeerSet()
         self.stores = PeerSet(step_s=self.heartbeat_interval_s * STORE_STEP)
         self.live = LiveRequests(settings.seconds("ContactMs", 2 / 3))
-        self.quorum = Quorum.of(settings)
+        self.quorum = Quorum.from_settings(settings)
         self.agreed_time = AgreedTime()
         self.contact = MajorityContact(self.quiet_s)
         self.gate = ServingGate(self.quiet_s)
--- a/archhatch/control/store_commands.py
+++ b/archhatch/control/store_commands.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ..consensus import Commands
-from ..jobs import Quorum, active
+from ..jobs import Quorum, active_members
 from ..runtime.message import Message, wire
 from .leases import LeaseClaim, claim_lease
 from .register_values import (
@@ -127,8 +127,10 @@
 
 def _enough_stay(value: RegisterValue, leaving_id: str, quorum: dict | None) -> bool:
     """Returns whether enough active stores stay without one."""
-    staying = {store_id: store for store_id, store in active(stores_of(value)).items() if store_id != leaving_id}
-    return Quorum.read(quorum).spares(staying)
+    staying = {
+        store_id: store for store_id, store in active_members(stores_of(value)).items() if store_id != leaving_id
+    }
+    return Quorum.from_document(quorum).tolerates_losses(staying)
 
 
 def is_cleared(value: RegisterValue, store: StoreRecord) -> bool:
--- a/archhatch/control/store_membership.py
+++ b/archhatch/control/store_membership.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..jobs import active
+from ..jobs import active_members
 from .registers import PLAN
 
 HEARD = 0.5  # of ContactMs: a store heard this lately may join, and counts as one that stays
@@ -53,7 +53,7 @@
                 spared = self._enough_stay(members, store_id, now)
             if member["state"] == "active" and spared:
                 node.log.info("store {} fell silent and others are there: it is to leave", store_id)
-                await node.try_command(PLAN, "store.leave", {"id": store_id, "quorum": node.quorum.doc()})
+                await node.try_command(PLAN, "store.leave", {"id": store_id, "quorum": node.quorum.to_document()})
         for store_id in members:
             self._joined.setdefault(store_id, now)
 
@@ -62,7 +62,7 @@
         node = self.node
         stay = {
             sid: member
-            for sid, member in active(members).items()
+            for sid, member in active_members(members).items()
             if sid != gone and node.stores.silence_s(sid, now) < node.settings.seconds("ContactMs", HEARD)
         }
-        return node.quorum.spares(stay)
+        return node.quorum.tolerates_losses(stay)
--- a/archhatch/data_plane/job_handlers.py
+++ b/archhatch/data_plane/job_handlers.py
@@ -34,7 +34,7 @@
         self.port = settings.internal_ports[0] + 1
         self.run_of: dict[str, str] = {}
         self.unclear: dict[str, None] = {}  # lots that were sent to a store without a clear answer, oldest first
-        self.quorum = Quorum.of(settings)
+        self.quorum = Quorum.from_settings(settings)
 
     def _stores(self) -> dict:
         return (self.config_watcher.shards.get("plan") or {}).get("stores", {})
@@ -176,7 +176,9 @@
         for word in words:
             for sid, m in (word or {"stores": {}})["stores"].items():
                 members.setdefault(sid, m)
-        return self.quorum.heard({sid for sid, word in zip(stores, words) if word and word["lacks"]}, members)
+        return self.quorum.has_heard_enough(
+            {sid for sid, word in zip(stores, words) if word and word["lacks"]}, members
+        )
 
     async def _lacks(self, address: str, sid: str, job_id: str) -> dict | None:
         try:
--- a/archhatch/data_plane/store_proxies.py
+++ b/archhatch/data_plane/store_proxies.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from ..jobs import active
+from ..jobs import active_members
 from ..membership import rank
 from ..rpc import CallError
 from ..upstream import Answer, Ran
@@ -75,7 +75,7 @@
         }
         here = {
             sid: member
-            for sid, member in active(register.get("stores", {})).items()
+            for sid, member in active_members(register.get("stores", {})).items()
             if member["zone"] == self.zone and sid not in holders and self._resting.get(sid, now) <= now
         }
         if not here:
--- a/archhatch/evacuation/controller.py
+++ b/archhatch/evacuation/controller.py
@@ -10,7 +10,7 @@
 import asyncio
 
 from ..region_policy import Placement
-from ..jobs import active
+from ..jobs import active_members
 from ..control.register_values import begun_term
 from ..routing import RoutingTable
 from .commands import ACKNOWLEDGED, DUTY, FAILED, NO_KEY, TERM_OVER
@@ -64,7 +64,7 @@
         if "plan" not in value:
             return ["there is no configuration yet"]
         needs = self._needs(rules)
-        members = active(value.get("stores", {}))
+        members = active_members(value.get("stores", {}))
         return lacks(needs, plan, self.placement.region_of, list(node.registry.replicas.values()), members, node.quorum)
 
     # -- driving
--- a/archhatch/evacuation/target_capacity.py
+++ b/archhatch/evacuation/target_capacity.py
@@ -47,7 +47,7 @@
         if there < want or (here and not there):
             out.append(f"{service}: {there} places in {evacuation['Target']}, {want:g} wanted")
     stores = {sid: m for sid, m in members.items() if region_of.get(m["zone"]) == evacuation["Target"]}
-    if needs.runs and not quorum.enough(stores, members):
+    if needs.runs and not quorum.has_enough_copies(stores, members):
         out.append(f"{len(stores)} stores in {evacuation['Target']}: too few for copies that outlive what may be lost")
     return out
 
--- a/archhatch/jobs/__init__.py
+++ b/archhatch/jobs/__init__.py
@@ -1,7 +1,7 @@
 """Lots and their results, as stores keep them."""
 
 from .batch_job import InvalidJobError, Item, BatchJob, check_job, read_job
-from .quorum import Quorum, active
+from .quorum import Quorum, active_members
 from .record import Record, pack, unpack
 from .record_store import RecordStore
 from .replicator import Replicator, DeposedError
@@ -15,7 +15,7 @@
     "Record",
     "RecordStore",
     "Replicator",
-    "active",
+    "active_members",
     "check_job",
     "pack",
     "read_job",
--- a/archhatch/jobs/batch_job.py
+++ b/archhatch/jobs/batch_job.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Item:
-    iid: str
+    item_id: str
     at: int
     path: str
     heads: list
@@ -87,8 +87,8 @@
     items: dict = {}
     for n, row in enumerate(rows):
         item = _item(row, n, strict)
-        _need(item.iid not in items, f"Entries[{n}]: InstanceId is missing or twice")
-        items[item.iid] = item
+        _need(item.item_id not in items, f"Entries[{n}]: InstanceId is missing or twice")
+        items[item.item_id] = item
     return ParsedJob(doc["Model"], step, want, least, items)
 
 
@@ -149,21 +149,21 @@
     host: str
     path: str
     total: int
-    step: int
-    want: int
-    least: int
+    train_step: int
+    desired_count: int
+    min_revision: int
     items: dict
     records: list = field(default_factory=list)  # every record of it, the lot's own first
     results: list = field(default_factory=list)  # R records by position
-    listed: int = 0
-    done: set = field(default_factory=set)  # items that have a position
-    ended: bool = False
-    taken: float = 0.0
+    listed_count: int = 0
+    positioned_items: set = field(default_factory=set)  # items that have a position
+    is_ended: bool = False
+    accepted_at: float = 0.0
     ended_at: float = 0.0
     tenant: str | None = None  # whose items they are; None where no key is asked for
-    base: int = 0  # offset of its first item in the partition of its model
+    base_offset: int = 0  # offset of its first item in the partition of its model
 
-    def let_items_go(self) -> None:
+    def release_items(self) -> None:
         """It is ended: nobody asks for its items' bodies any more, and they are most of what it takes in memory."""
         self.items = {}
 
@@ -173,7 +173,7 @@
         >>> # rows, nxt = batch_job.page(12)
         """
         rows, size = [], 0
-        for record in self.results[after : self.listed]:
+        for record in self.results[after : self.listed_count]:
             if rows and size + len(record.body) > most:
                 break
             rows.append(record.body)
@@ -181,7 +181,7 @@
         return rows, after + len(rows)
 
 
-def read_job(head: dict, body: bytes, taken: float) -> BatchJob:
+def read_job(head: dict, body: bytes, accepted_at: float) -> BatchJob:
     """A Lot from its record."""
     doc = parse_job(body, strict=False)
     return BatchJob(
@@ -195,7 +195,7 @@
         doc.want,
         doc.least,
         doc.items,
-        taken=taken,
+        accepted_at=accepted_at,
         tenant=head.get("tenant"),
-        base=int(head.get("base", 0)),
+        base_offset=int(head.get("base", 0)),
     )
--- a/archhatch/jobs/quorum.py
+++ b/archhatch/jobs/quorum.py
@@ -14,11 +14,13 @@
     so any enough copies and any gather share a store.
 
     >>> q = Quorum(1); three = {s: {"zone": "z", "state": "active"} for s in "abc"}
-    >>> q.enough({"a"}, three), q.enough({"a", "b"}, three), q.enough({"a", "old"}, three)
-    (False, True, False)
-    >>> q.heard({"a"}, three), q.heard({"a", "b"}, three)
+    >>> q.has_enough_copies({"a"}, three), q.has_enough_copies({"a", "b"}, three)
     (False, True)
-    >>> Quorum(0).enough({"a"}, three), Quorum(0).heard({"a", "b"}, three)
+    >>> q.has_enough_copies({"a", "old"}, three)
+    False
+    >>> q.has_heard_enough({"a"}, three), q.has_heard_enough({"a", "b"}, three)
+    (False, True)
+    >>> Quorum(0).has_enough_copies({"a"}, three), Quorum(0).has_heard_enough({"a", "b"}, three)
     (True, False)
     """
 
@@ -28,28 +30,28 @@
     region_of: dict = field(default_factory=dict)  # zone -> region
 
     @classmethod
-    def of(cls, settings) -> Quorum:
+    def from_settings(cls, settings) -> Quorum:
         """As the settings have it.
 
-        >>> # Quorum.of(settings).machines == settings.tolerated_machines
+        >>> # Quorum.from_settings(settings).machines == settings.tolerated_machines
         """
         regions = settings.zones if settings.tolerated_regions else {}
         return cls(settings.tolerated_machines, settings.tolerated_zones, settings.tolerated_regions, regions)
 
     @classmethod
-    def read(cls, doc: dict | None) -> Quorum:
+    def from_document(cls, doc: dict | None) -> Quorum:
         """From what doc() made; one machine if nothing is said.
 
-        >>> Quorum.read(Quorum(2).doc()) == Quorum(2), Quorum.read(None).machines
+        >>> Quorum.from_document(Quorum(2).to_document()) == Quorum(2), Quorum.from_document(None).machines
         (True, 1)
         """
         return cls(**doc) if doc else cls()
 
-    def doc(self) -> dict:
+    def to_document(self) -> dict:
         """For the arguments of a command, which must not hang on the settings of the node that runs it."""
         return {"machines": self.machines, "zones": self.zones, "regions": self.regions, "region_of": self.region_of}
 
-    def enough(self, stores, members: dict) -> bool:
+    def has_enough_copies(self, stores, members: dict) -> bool:
         """Whether copies on these stores outlive what may be lost."""
         have = [s for s in stores if s in members]
         return (
@@ -58,16 +60,16 @@
             and len(self._regions(have, members)) > self.regions
         )
 
-    def heard(self, stores, members: dict) -> bool:
+    def has_heard_enough(self, stores, members: dict) -> bool:
         """Whether any enough copies must stand on one of these stores too."""
-        return bool(members) and not self.enough([s for s in members if s not in stores], members)
+        return bool(members) and not self.has_enough_copies([s for s in members if s not in stores], members)
 
-    def spares(self, members: dict) -> bool:
+    def tolerates_losses(self, members: dict) -> bool:
         """Whether these members can lose what may be lost and still take records.
 
         >>> five = {s: {"zone": "z"} for s in "abcde"}
-        >>> Quorum(2).spares(five), Quorum(3).spares(five), Quorum(2, zones=1).spares(five)
-        (True, False, False)
+        >>> [quorum.tolerates_losses(five) for quorum in (Quorum(2), Quorum(3), Quorum(2, zones=1))]
+        [True, False, False]
         """
         return (
             len(members) > 2 * self.machines
@@ -75,17 +77,17 @@
             and len(self._regions(members, members)) > 2 * self.regions
         )
 
-    def pick(self, order: list, held, members: dict) -> list:
+    def choose_copies(self, order: list, held, members: dict) -> list:
         """The fewest of order that make held enough, if they can: first the ones whose zone or region is lacking, then
         other zones before the same, then as they stand in order.
 
         >>> m = {"a": {"zone": "x"}, "b": {"zone": "x"}, "c": {"zone": "y"}}
-        >>> Quorum(1).pick(["b", "c"], {"a"}, m), Quorum(1).pick(["b", "c"], {"a", "b"}, m)
+        >>> Quorum(1).choose_copies(["b", "c"], {"a"}, m), Quorum(1).choose_copies(["b", "c"], {"a", "b"}, m)
         (['c'], [])
         """
         have, out = [s for s in held if s in members], []
         left = [s for s in order if s in members and s not in have]
-        while left and not self.enough(have, members):
+        while left and not self.has_enough_copies(have, members):
             zones, regions = self._zones(have, members), self._regions(have, members)
             fit = []
             if len(regions) <= self.regions:
@@ -113,10 +115,10 @@
         return {self._region(s, members) for s in stores}
 
 
-def active(members: dict) -> dict:
+def active_members(members: dict) -> dict:
     """Those that may take records; a leaving one is asked as long as it is a member, but no new copy counts on it.
 
-    >>> list(active({"a": {"state": "active"}, "b": {"state": "leaving"}}))
+    >>> list(active_members({"a": {"state": "active"}, "b": {"state": "leaving"}}))
     ['a']
     """
     return {s: m for s, m in members.items() if m["state"] == "active"}
--- a/archhatch/jobs/record_state.py
+++ b/archhatch/jobs/record_state.py
@@ -21,13 +21,13 @@
 
     def _clear(self) -> None:
         self.id = ""
-        self.promised: dict[str, int] = {}
+        self.promised_terms: dict[str, int] = {}
         self.batch_jobs: dict[str, dict] = {}
         self.windows: dict[tuple, list] = {}  # (run, partition) -> its newest snapshot and the deltas behind it
         self.strays: dict[tuple, list] = {}  # (run, partition) -> deltas whose snapshot is not here
         self.ticks: dict[str, tuple] = {}  # run -> the newest (term, seconds of that term) that a record bears
         self.noted: dict[str, dict] = {}  # run -> replica -> (term, seconds of it) of its last intent to order
-        self.orders: dict[str, dict] = {}  # run -> replica -> when the last intent to order was synced here
+        self.order_intents: dict[str, dict] = {}  # run -> replica -> when the last intent to order was synced here
 
     def load(self, raws: Iterable[bytes]) -> None:
         """Take up the records of a log."""
@@ -45,7 +45,7 @@
                     self.apply(record)
 
     def _promise(self, run: str, term: int) -> None:
-        self.promised[run] = max(term, self.promised.get(run, 0))
+        self.promised_terms[run] = max(term, self.promised_terms.get(run, 0))
 
     def _tick(self, head: dict) -> None:
         if "t" in head:
@@ -82,7 +82,7 @@
         kind, head = record.head["k"], record.head
         self._tick(head)
         if kind == Kind.ORDER:
-            self.orders.setdefault(head["run"], {})[head["iid"]] = self.clock.now()
+            self.order_intents.setdefault(head["run"], {})[head["iid"]] = self.clock.now()
             if "t" in head:
                 self.noted.setdefault(head["run"], {})[head["iid"]] = (head["term"], head["t"])
         elif kind == Kind.SNAPSHOT:
@@ -126,7 +126,7 @@
 
     # -- what others ask for
 
-    def told(self, run: str) -> dict:
+    def describe_run(self, run: str) -> dict:
         """What is here of a run, for its new holder."""
         batch_jobs = {}
         for job_id, entry in self.batch_jobs.items():
@@ -137,7 +137,7 @@
                     "end": entry["end"] is not None,
                     "results": results,
                 }
-        now, last = self.clock.now(), self.orders.get(run, {})
+        now, last = self.clock.now(), self.order_intents.get(run, {})
         windows = [[r.head, r.body.decode()] for r in self._window_records(run)]
         return {
             "lots": batch_jobs,
@@ -171,17 +171,17 @@
     def forget(self, lids, order_s: float) -> None:
         """Drop lots that nobody may ask for any more, and intents to order that are older than order_s."""
         now = self.clock.now()
-        for run, last in self.orders.items():
-            self.orders[run] = {iid: at for iid, at in last.items() if now - at <= order_s}
-            self.noted[run] = {iid: at for iid, at in self.noted.get(run, {}).items() if iid in self.orders[run]}
+        for run, last in self.order_intents.items():
+            self.order_intents[run] = {iid: at for iid, at in last.items() if now - at <= order_s}
+            self.noted[run] = {iid: at for iid, at in self.noted.get(run, {}).items() if iid in self.order_intents[run]}
         for job_id in lids:
             self.batch_jobs.pop(job_id, None)
 
     def snapshot(self) -> Iterator[bytes]:
         """All that is kept, for a rewritten log. Gathered now; packed as it is taken, also in another thread."""
         heads = [{"k": Kind.IDENTITY, "id": self.id}]
-        heads += [{"k": Kind.PROMISE, "run": run, "term": term} for run, term in self.promised.items()]
-        for run, last in self.orders.items():
+        heads += [{"k": Kind.PROMISE, "run": run, "term": term} for run, term in self.promised_terms.items()]
+        for run, last in self.order_intents.items():
             noted = self.noted.get(run, {})
             for iid in last:
                 at = dict(zip(("term", "t"), noted[iid], strict=True)) if iid in noted else {}
--- a/archhatch/jobs/record_store.py
+++ b/archhatch/jobs/record_store.py
@@ -59,7 +59,7 @@
         await self.wal.append(pack(Record({"k": Kind.IDENTITY, "id": new})))
         self.id = new
 
-    async def start_over(self, new: str) -> None:
+    async def reset(self, new: str) -> None:
         """Be empty under another id, once the disk is; until then, and after a LogError, all is as before."""
         await self.wal.rewrite(lambda: [pack(Record({"k": Kind.IDENTITY, "id": new}))])
         self._clear()
@@ -69,12 +69,12 @@
 
     async def prepare(self, run: str, term: int) -> dict:
         """Promise a run's new holder to take nothing from older ones; tells what is here of the run."""
-        if term > self.promised.get(run, 0):
+        if term > self.promised_terms.get(run, 0):
             await self._keep(_Entry(term, Record({"k": Kind.PROMISE, "run": run, "term": term})))
-        if term < self.promised.get(run, 0):
+        if term < self.promised_terms.get(run, 0):
             self.counters.add("shelf.prepare_refused")
-            return {"ok": False, "promised": self.promised[run]}
-        return {"ok": True, **self.told(run)}
+            return {"ok": False, "promised": self.promised_terms[run]}
+        return {"ok": True, **self.describe_run(run)}
 
     async def _keep(self, entry: _Entry) -> None:
         """Have a record on the disk, by a write that is under way if there is one."""
@@ -105,7 +105,7 @@
 
     def _sort(self, entry: _Entry, verdicts: dict, fresh: list, writes: dict) -> None:
         """Say at once what becomes of a record, have it written, or wait for the write that carries it already."""
-        promised = self.promised.get(entry.record.head["run"], 0)
+        promised = self.promised_terms.get(entry.record.head["run"], 0)
         standing = self.standing(entry.record)
         coming = None if standing else self._on_its_way(entry.record)
         if entry.by < promised:
@@ -144,7 +144,7 @@
         raws, terms = [], {}
         for entry in entries:
             run = entry.record.head["run"]
-            if entry.by > max(self.promised.get(run, 0), terms.get(run, 0)):
+            if entry.by > max(self.promised_terms.get(run, 0), terms.get(run, 0)):
                 terms[run] = entry.by
                 raws.append(pack(Record({"k": Kind.PROMISE, "run": run, "term": entry.by})))
             if entry.record.head["k"] != Kind.PROMISE and not self.standing(entry.record):
@@ -165,7 +165,7 @@
     def _count(self, entry: _Entry) -> bool:
         """A record is on the disk: from now on it counts, unless its run went to a higher term meanwhile."""
         run = entry.record.head["run"]
-        if entry.by < self.promised.get(run, 0):
+        if entry.by < self.promised_terms.get(run, 0):
             self.counters.add("shelf.overtaken")
             return False
         self._promise(run, entry.by)
@@ -175,7 +175,7 @@
 
     # -- space
 
-    def admits(self, job_id: str, size: int) -> bool:
+    def can_admit(self, job_id: str, size: int) -> bool:
         """Whether a lot may be taken: it is here or on its way, or there is room for it."""
         return job_id in self.batch_jobs or (Kind.LOT, job_id) in self._coming or self.has_room(size)
 
--- a/archhatch/jobs/replicator.py
+++ b/archhatch/jobs/replicator.py
@@ -7,7 +7,7 @@
 from ..membership import rank
 from ..rpc import CallError
 from ..wal import LogError
-from .quorum import Quorum, active
+from .quorum import Quorum, active_members
 from .record import Record, pack_many
 
 
@@ -21,7 +21,7 @@
 class Replicator:
     """put() returns when enough stores have synced the records.
 
-    >>> # await replicator.put("run", 3, records)
+    >>> # await replicator.replicate("run", 3, records)
     """
 
     def __init__(
@@ -52,15 +52,15 @@
         self._inboxes: dict[str, list] = {}
         self._wakes: dict[str, asyncio.Event] = {}
 
-    def enough(self, record: Record) -> bool:
+    def has_enough_copies(self, record: Record) -> bool:
         """Whether a record's copies on stores that stay are enough."""
-        return self.quorum.enough(record.held, active(self.members()))
+        return self.quorum.has_enough_copies(record.held, active_members(self.members()))
 
     def targets(self, job_id: str, held, avoid=(), silent: bool = True, first=frozenset()) -> list:
         """The stores that should have a lot's record besides those that hold it: this one, then by rendezvous of the
         lot's id those in touch, those that were late with an answer, and if these are not enough also silent ones;
         none whose disk takes nothing. Of each kind those in `first` come before the others."""
-        members = active(self.members())
+        members = active_members(self.members())
         order = [self.me] + rank(job_id, [s for s in members if s != self.me])
         order = [s for s in order if s not in avoid and self.takes(s)]
         if first:
@@ -70,7 +70,7 @@
             tiers[2 if not self.alive(sid) else 1 if self._late.get(sid, now) > now else 0].append(sid)
         out: list = []
         for tier in tiers if silent else tiers[:2]:
-            out += self.quorum.pick(tier, {*held, *out}, members)
+            out += self.quorum.choose_copies(tier, {*held, *out}, members)
         return out
 
     def _shun(self, sids) -> None:
@@ -79,7 +79,7 @@
                 self._late[sid] = self.record_store.clock.now() + self.seconds * SHUN
                 self.counters.add("copy.late")
 
-    async def put(self, run: str, term: int, records: list[Record]) -> None:
+    async def replicate(self, run: str, term: int, records: list[Record]) -> None:
         """Have enough stores sync the records; DeposedError if one knows a higher term. One that is slow to answer is
         not waited for: another is asked as well."""
         job_id, first = records[0].head["lot"], self.prefers(run)
@@ -87,10 +87,10 @@
         slow: set = set()  # asked, without an answer in time
         pause = 0.05
         while True:
-            lack = [r for r in records if not self.enough(r)]
+            lack = [r for r in records if not self.has_enough_copies(r)]
             if not lack:
                 return
-            if self.record_store.promised.get(run, 0) > term:
+            if self.record_store.promised_terms.get(run, 0) > term:
                 raise DeposedError(run)
             jobs: dict[str, list] = {}
             for r in lack:
--- a/archhatch/rollout_controller/repair.py
+++ b/archhatch/rollout_controller/repair.py
@@ -5,7 +5,7 @@
 
 import asyncio
 
-from ..jobs import BatchJob, Record, active
+from ..jobs import BatchJob, Record, active_members
 
 BURST = 1 << 18  # bytes of repair under way at a time: new records wait behind them
 
@@ -26,14 +26,16 @@
 
     def copied(self, batch_job: BatchJob, records: list[Record]) -> None:
         """Records came to enough stores; some of these may not stay."""
-        self.thin += [(batch_job, record) for record in records if not self.store.quorum.enough(record.held, self._up)]
+        self.thin += [
+            (batch_job, record) for record in records if not self.store.quorum.has_enough_copies(record.held, self._up)
+        ]
 
     async def round(self) -> None:
         """Bring records to enough stores that stay in touch; say which leaving stores are not needed any more. All
         records are looked at when the stores change, after that only those that lack copies."""
         store = self.store
         members = store.members()
-        stay = active(members)
+        stay = active_members(members)
         up = {sid: m for sid, m in stay.items() if store.membership.stays(sid)}
         if (stay.keys(), up.keys()) != self._judged:
             self._judged, self._up = (stay.keys(), up.keys()), up
@@ -46,11 +48,13 @@
             if self.leadership.advance(batch_job):
                 store.state_board.notify(("lot", batch_job.job_id))
         # what ended its copying meanwhile, without enough stores in touch, was put into the new list
-        left = {id(r): (batch_job, r) for batch_job, r in thin + self.thin if not store.quorum.enough(r.held, up)}
+        left = {
+            id(r): (batch_job, r) for batch_job, r in thin + self.thin if not store.quorum.has_enough_copies(r.held, up)
+        }
         self.thin = list(left.values())
         departing = tuple(sid for sid in stay if sid not in up and store.membership.departing(sid))
         self._older &= self.leadership.under_way()
-        self.spared = () if self.thin or self._older or self.leadership.pending else departing
+        self.spared = () if self.thin or self._older or self.leadership.pending_jobs else departing
         if self._whole(stay):
             await self._clear_leaving(members, stay)
 
@@ -74,9 +78,11 @@
     def _whole(self, stay: dict) -> bool:
         """Whether all that this run holds has enough copies on the stores that stay, and this is surely its holder."""
         return (
-            not self.leadership.pending
-            and self.leadership.fresh()
-            and all(self.leadership.copying(r) or self.store.quorum.enough(r.held, stay) for _, r in self.thin)
+            not self.leadership.pending_jobs
+            and self.leadership.is_confirmed()
+            and all(
+                self.leadership.copying(r) or self.store.quorum.has_enough_copies(r.held, stay) for _, r in self.thin
+            )
         )
 
     async def _clear_leaving(self, members: dict, stay: dict) -> None:
@@ -109,7 +115,7 @@
             for record in batch_job.records:
                 held = frozenset(record.held)  # few different sets, many records
                 if held not in known:
-                    known[held] = self.store.quorum.enough(held, members)
+                    known[held] = self.store.quorum.has_enough_copies(held, members)
                 if not known[held]:
                     out.append((batch_job, record))
             self.store.counters.add("mend.looked", len(batch_job.records))
@@ -120,7 +126,7 @@
             return
         self.store.counters.add("mend.records", len(sends))
         if False in await asyncio.gather(*sends):
-            self.leadership.over()
+            self.leadership.step_down()
 
 
 def place(record: Record) -> tuple:
--- a/archhatch/rollout_controller/scoring.py
+++ b/archhatch/rollout_controller/scoring.py
@@ -17,12 +17,12 @@
 class Scoring:
     """score() gives the seal of a reward call's 2xx, or None once the call failed for good.
 
-    >>> # scoring = Scoring(store, lull); task_group.run_forever("scoring", scoring.run);
+    >>> # scoring = Scoring(store, load_limit); task_group.run_forever("scoring", scoring.run);
     >>> # seal = await scoring.score(work, key)
     """
 
-    def __init__(self, store, lull: LoadLimit):
-        self.store, self.lull = store, lull
+    def __init__(self, store, load_limit: LoadLimit):
+        self.store, self.load_limit = store, load_limit
         self.inbox: list = []
         self.count = itertools.count()
 
@@ -84,7 +84,7 @@
         if service is None or service in full:
             return False
         line = store.load_balancer.pick(service, set(), store.clock.now(), route)
-        if line is None or line.under_way >= self.lull.places(
+        if line is None or line.under_way >= self.load_limit.usable_slots(
             service, line.slots, len(store.load_balancer.by_service[service])
         ):
             full.add(service)
--- a/archhatch/rollout_controller/takeover.py
+++ b/archhatch/rollout_controller/takeover.py
@@ -50,14 +50,16 @@
         if told is None:
             return False
         self.heed_orders(list(told.values()))
-        leadership.window_recs = [row for out in told.values() for row in out["windows"]]
+        leadership.window_records = [row for out in told.values() for row in out["windows"]]
         seen: dict[str, dict] = {}
         for sid, out in told.items():
             for job_id, said in out["lots"].items():
                 seen.setdefault(job_id, {})[sid] = said
-        leadership.pending = {job_id: said for job_id, said in seen.items() if any(x["end"] for x in said.values())}
+        leadership.pending_jobs = {
+            job_id: said for job_id, said in seen.items() if any(x["end"] for x in said.values())
+        }
         return await self._adopt_all(
-            {job_id: said for job_id, said in seen.items() if job_id not in leadership.pending}
+            {job_id: said for job_id, said in seen.items() if job_id not in leadership.pending_jobs}
         )
 
     async def _ask_all(self, members: dict) -> dict | None:
@@ -72,7 +74,7 @@
         wait = set(tasks)
         try:
             while wait:
-                sure = store.id in told and store.quorum.heard(told, members)
+                sure = store.id in told and store.quorum.has_heard_enough(told, members)
                 # once it is sure, the others are given a moment: copies that they have need not be made anew
                 done, wait = await asyncio.wait(
                     wait, timeout=store.heartbeat_interval_s if sure else None, return_when=asyncio.FIRST_COMPLETED
@@ -90,7 +92,7 @@
         finally:
             for task in wait:
                 task.cancel()
-        return told if store.id in told and store.quorum.heard(told, members) else None
+        return told if store.id in told and store.quorum.has_heard_enough(told, members) else None
 
     def _note_heard(self, sid: str) -> None:
         if sid not in self._heard:
@@ -105,7 +107,7 @@
         """
         now, wait = self.store.clock.now(), self.store.settings.seconds("LeaseMs", 1 + ORDER)
         tick = max((tuple(out["tick"]) for out in told if out["tick"]), default=(0, 0.0))
-        order_from = self.leadership.order_from
+        may_order_from = self.leadership.may_order_from
         for out in told:
             for iid, age in out["orders"].items():
                 term, t = out["noted"].get(iid, (tick[0], tick[1]))
@@ -114,15 +116,15 @@
                 elif term == tick[0]:
                     age = max(age, tick[1] - t)
                 at = now - age + wait
-                order_from[iid] = max(at, order_from.get(iid, at))
+                may_order_from[iid] = max(at, may_order_from.get(iid, at))
 
     # -- taking up lots
 
     async def take_up_ended(self) -> None:
         """Ended lots follow once the open ones are served: nobody waits for their results."""
         leadership = self.leadership
-        while leadership.pending and leadership.state == "holding":
-            if not await self._adopt_all(leadership.pending):
+        while leadership.pending_jobs and leadership.state == "holding":
+            if not await self._adopt_all(leadership.pending_jobs):
                 await asyncio.sleep(self.store.heartbeat_interval_s)
 
     async def _adopt_all(self, seen: dict) -> bool:
@@ -134,7 +136,7 @@
             async with few:
                 well = await self._adopt(job_id, seen[job_id])
                 if well:
-                    self.leadership.pending.pop(job_id, None)
+                    self.leadership.pending_jobs.pop(job_id, None)
                     self.leadership.progress()
                 return well
 
@@ -157,11 +159,11 @@
         batch_job, again = self._rebuild(job_id, seen, chosen, copies)
         if again:
             self.store.counters.add("adopt.again", len(again))
-            await self.store.replicator.put(leadership.run, leadership.term, again)
-        batch_job.listed = len(batch_job.results)
+            await self.store.replicator.replicate(leadership.run, leadership.term, again)
+        batch_job.listed_count = len(batch_job.results)
         leadership.batch_jobs[job_id] = batch_job
-        leadership.next[batch_job.model] = max(
-            leadership.next.get(batch_job.model, 0), batch_job.base + batch_job.total
+        leadership.next_offsets[batch_job.model] = max(
+            leadership.next_offsets.get(batch_job.model, 0), batch_job.base_offset + batch_job.total
         )
         return True
 
@@ -215,17 +217,17 @@
         for pos, (term, item) in enumerate(chosen):
             held = {sid for sid, rows in where.items() if (pos, term, item) in rows}
             record = Record(dict(copies.results[pos].head), copies.results[pos].body, held)
-            if not store.replicator.enough(record):
-                record = Record({**record.head, "term": leadership.term, "t": leadership.tick()}, record.body)
+            if not store.replicator.has_enough_copies(record):
+                record = Record({**record.head, "term": leadership.term, "t": leadership.elapsed_s()}, record.body)
             batch_job.results.append(record)
             batch_job.records.append(record)
-            batch_job.done.add(item)
+            batch_job.positioned_items.add(item)
         if copies.end is not None:
-            batch_job.ended, batch_job.ended_at = True, store.clock.now()
-            batch_job.let_items_go()
+            batch_job.is_ended, batch_job.ended_at = True, store.clock.now()
+            batch_job.release_items()
             held = {sid for sid, said in seen.items() if said["end"]}
             batch_job.records.append(Record(dict(copies.end.head), copies.end.body, held))
-        return batch_job, [record for record in batch_job.records if not store.replicator.enough(record)]
+        return batch_job, [record for record in batch_job.records if not store.replicator.has_enough_copies(record)]
 
 
 def choose(seen: dict) -> list:
--- a/archhatch/rollout_controller/weight_orders.py
+++ b/archhatch/rollout_controller/weight_orders.py
@@ -58,9 +58,9 @@
         self.out = 0
         self.doubts: set = set()
 
-    def doubt(self, e) -> None:
+    def verify_replica(self, e) -> None:
         """An engine turned a version away that it should have."""
-        self.doubts.add(e.iid)
+        self.doubts.add(e.instance_id)
         self.store.state_board.notify("orders")
 
     async def run(self) -> None:
@@ -69,7 +69,7 @@
             for iid in list(self.doubts):
                 self.doubts.discard(iid)
                 e = store.engines.all.get(iid)
-                if e is not None and not e.ordering:
+                if e is not None and not e.has_order_under_way:
                     store.task_group.spawn("doubt", self._clear_up, e)
             while self._start_one():
                 pass
@@ -86,22 +86,29 @@
             target = named.get(run, 1)
             if not leadership.may_order():
                 continue
-            engines = [e for e in store.engines.of(leadership.run) if not e.draining]
+            engines = [e for e in store.engines.of_service(leadership.run) if not e.draining]
             if not self._wanted(leadership, run, engines, target):
                 continue
-            urgent = not any(e.revs.get(run, 1) >= target for e in engines) or self._starved(leadership, run, engines)
+            urgent = not any(e.revisions.get(run, 1) >= target for e in engines) or self._starved(
+                leadership, run, engines
+            )
             for e in engines:
-                if e.revs.get(run, 1) >= target or e.ordering or e.health.update(now) is EJECTED or e.silent:
+                if (
+                    e.revisions.get(run, 1) >= target
+                    or e.has_order_under_way
+                    or e.health.update(now) is EJECTED
+                    or e.is_unreachable
+                ):
                     continue
-                if e.pause_until > now or not leadership.may_order(e.iid):
+                if e.paused_until > now or not leadership.may_order(e.instance_id):
                     continue
-                key = (not urgent, e.running.get(run, 0), e.pace)
+                key = (not urgent, e.running_items.get(run, 0), e.seconds_per_event)
                 if best is None or key < best[0]:
                     best = (key, leadership, run, e, target)
         if best is None:
             return False
         _, leadership, run, e, target = best
-        e.ordering = True
+        e.has_order_under_way = True
         self.out += 1
         store.task_group.spawn("order", self._order, leadership, run, e, target)
         return True
@@ -109,7 +116,7 @@
     def _wanted(self, leadership, model: str, engines: list, target: int) -> bool:
         """Whether one more engine should load: each model's even share of them does at once, more when items wait
         that no free place may run."""
-        loaded = sum(1 for e in engines if e.revs.get(model, 1) >= target or model in e.held)
+        loaded = sum(1 for e in engines if e.revisions.get(model, 1) >= target or model in e.held_models)
         share = math.ceil(len(engines) / max(1, len(self.store.models_of(leadership.run))))
         if loaded < share:
             return True
@@ -119,15 +126,15 @@
         """Whether an open lot has no engine that may make its tokens."""
         return any(
             batch_job.model == model
-            and not batch_job.ended
-            and not any(e.revs.get(model, 1) >= batch_job.least for e in engines)
+            and not batch_job.is_ended
+            and not any(e.revisions.get(model, 1) >= batch_job.min_revision for e in engines)
             for batch_job in leadership.batch_jobs.values()
         )
 
     def _single(self, leadership, model) -> bool:
         plan = self.store.plan
         for batch_job in leadership.batch_jobs.values():
-            if not batch_job.ended and batch_job.model == model:
+            if not batch_job.is_ended and batch_job.model == model:
                 route = plan.route(batch_job.host, batch_job.path.split("?", 1)[0])
                 if route is not None and route.single:
                     return True
@@ -136,27 +143,27 @@
     async def _order(self, leadership, run: str, e, target: int) -> None:
         store = self.store
         try:
-            e.held.add(run)
+            e.held_models.add(run)
             if not await self._cleared(e):
                 return
             mode = "retain"
             if self._single(leadership, run):
                 mode = "hold"
                 await self._until_idle(leadership, run, e)
-            if not leadership.may_order() or e.iid not in store.engines.all:
+            if not leadership.may_order() or e.instance_id not in store.engines.all:
                 return
             try:
-                until = await leadership.intend(e.iid)
+                until = await leadership.record_order_intent(e.instance_id)
             except DeposedError:
-                leadership.over()
+                leadership.step_down()
                 return
             began = store.clock.now()
             taken = await self._send(leadership, run, e, max(target, store.named().get(run, 1)), mode, until)
             if taken is not Taken.NO:
                 await self._await_done(run, e, target, began, taken is Taken.YES)
         finally:
-            e.ordering = False
-            e.held.discard(run)
+            e.has_order_under_way = False
+            e.held_models.discard(run)
             self.out -= 1
             store.state_board.notify("orders")
             store.state_board.notify("work")
@@ -165,19 +172,19 @@
         """Wait for the items of a model that an engine runs, not longer than a lease."""
         store = self.store
         end = store.clock.now() + store.settings.seconds("LeaseMs")
-        while e.running.get(run, 0) and store.clock.now() < end and leadership.may_order():
+        while e.running_items.get(run, 0) and store.clock.now() < end and leadership.may_order():
             await store.state_board.wait_for_change(
                 "work", store.state_board.version("work"), store.heartbeat_interval_s
             )
 
     async def _cleared(self, e) -> bool:
         """Whether nothing is unclear of earlier orders: what got no answer may have been taken, and a report tells."""
-        if e.unclear_at is not None:
+        if e.unresolved_order_at is not None:
             await self._report(e)
-        if e.unclear_at is None:
+        if e.unresolved_order_at is None:
             return True
         self.store.counters.add("order.still_unclear")
-        e.pause_until = self.store.clock.now() + self.store.gap_s()
+        e.paused_until = self.store.clock.now() + self.store.gap_s()
         return False
 
     async def _send(self, leadership, run, e, target, mode, until: float) -> Taken:
@@ -187,7 +194,7 @@
         proof of its lease is too old by then, must not order.
         """
         store = self.store
-        gate = SendGate(lambda: store.clock.now() < until and leadership.may_order(e.iid))
+        gate = SendGate(lambda: store.clock.now() < until and leadership.may_order(e.instance_id))
         if not gate():
             store.counters.add("order.too_late")
             return Taken.NO
@@ -221,7 +228,7 @@
         async with asyncio.timeout(store.gap_s() * 2):
             async with store.upstream_client.ask(
                 e.address,
-                e.iid,
+                e.instance_id,
                 "POST",
                 "/api/order",
                 [("Content-Type", "application/json")],
@@ -248,18 +255,18 @@
             e.count = e.count + 1 if e.count is not None else None
             return Taken.YES
         if status == 200:
-            e.proven(run, target)
+            e.record_revision(run, target)
             return Taken.NO
         if status not in TURNED_AWAY and not not_run:
             return self._unclear(e, "order.unclear")  # 409 too: another is under way, or its count is not what it was
-        e.pause_until = store.clock.now() + store.gap_s()
+        e.paused_until = store.clock.now() + store.gap_s()
         if status == 421:
             await self._clear_up(e)
         return Taken.NO
 
     def _unclear(self, e, counter: str) -> Taken:
         self.store.counters.add(counter)
-        e.unclear_at = self.store.clock.now()
+        e.unresolved_order_at = self.store.clock.now()
         return Taken.MAYBE
 
     async def _await_done(self, run, e, target, began, sure: bool) -> None:
@@ -267,17 +274,17 @@
         alone = self.out
         pause = self.room.load_s
         end = began + store.settings.seconds("LeaseMs", 2)
-        while store.clock.now() < end and e.iid in store.engines.all:
+        while store.clock.now() < end and e.instance_id in store.engines.all:
             await asyncio.sleep(pause)
-            if e.revs.get(run, 1) >= target:
+            if e.revisions.get(run, 1) >= target:
                 break
             rep = await self._report(e)
-            if rep is not None and not rep.get("Utilization") and e.revs.get(run, 1) < target:
+            if rep is not None and not rep.get("Utilization") and e.revisions.get(run, 1) < target:
                 if store.clock.now() - began > self.room.load_s + store.gap_s() * 2:
                     store.counters.add("order.lost")
                     return
             pause = max(0.03, self.room.load_s * 0.15)
-        if e.revs.get(run, 1) >= target:
+        if e.revisions.get(run, 1) >= target:
             store.counters.add("order.done")
             if sure:  # what may have been another's order says nothing of how long a load takes
                 self.room.note(store.clock.now() - began, alone)
@@ -288,7 +295,9 @@
         store.counters.add("report")
         try:
             async with asyncio.timeout(store.gap_s() * 2):
-                async with store.upstream_client.ask(e.address, e.iid, "GET", "/api/report", [], b"", 0.0) as response:
+                async with store.upstream_client.ask(
+                    e.address, e.instance_id, "GET", "/api/report", [], b"", 0.0
+                ) as response:
                     self._refuse_foreign(response)
                     data = await response.read()
                     if response.status != 200:
@@ -303,17 +312,19 @@
             self.store.counters.add("report.old")
             return None
         for m in doc.get("ModelList") or []:
-            e.proven(m["Name"], int(m["Revision"]))
+            e.record_revision(m["Name"], int(m["Revision"]))
         if not doc.get("Utilization"):
             e.count = taken
             more = known is not None and taken > known
-            if e.unclear_at is not None and (more or asked - e.unclear_at >= self.store.gap_s() * LAG_GAPS):
-                e.unclear_at = None
+            if e.unresolved_order_at is not None and (
+                more or asked - e.unresolved_order_at >= self.store.gap_s() * LAG_GAPS
+            ):
+                e.unresolved_order_at = None
         return doc
 
     async def _clear_up(self, e) -> None:
         """Learn what an engine really holds: what it reports counts, also where it is lower than was believed."""
         rep = await self._report(e)
         if rep is not None and not rep.get("Utilization"):
-            e.revs = {m["Name"]: int(m["Revision"]) for m in rep.get("ModelList") or []}
+            e.revisions = {m["Name"]: int(m["Revision"]) for m in rep.get("ModelList") or []}
         self.store.state_board.notify("work")
--- a/archhatch/share_group/acknowledgements.py
+++ b/archhatch/share_group/acknowledgements.py
@@ -46,17 +46,17 @@
             return self._release(run, win, e, row)
         e.is_acknowledging = True
         try:
-            await run.leadership.list_result(e.batch_job, e.item.iid, row["doc"])
+            await run.leadership.append_result(e.batch_job, e.item.item_id, row["doc"])
         except DeposedError:
-            run.leadership.over()
+            run.leadership.step_down()
             raise CallRefusedError(3005) from None
         finally:
             e.is_acknowledging = False
-        if e.item.iid not in e.batch_job.done:  # the reign or the lot ended meanwhile: not settled
+        if e.item.item_id not in e.batch_job.positioned_items:  # the reign or the lot ended meanwhile: not settled
             return False
         if e.state is EntryState.ACQUIRED:
             win.acknowledge(e.offset, worker, row["dc"], row["kind"])
-            run.entries.get(e.batch_job.job_id, {}).pop(e.item.iid, None)
+            run.entries.get(e.batch_job.job_id, {}).pop(e.item.item_id, None)
         self.store.counters.add("share." + row["kind"])
         return True
 
@@ -83,16 +83,16 @@
             if sign == "served" and store.placement.policy is not None:
                 store.load_balancer.proofs[e.service, e.zone] = now  # a sign of life of its region
             if sign == "gone":
-                store.engines.drop(e.iid)
+                store.engines.remove(e.instance_id)
                 return
             if sign == "doubt":
-                store.orders.doubt(e)
-                e.pause_until = now + store.gap_s() * 0.4
+                store.orders.verify_replica(e)
+                e.paused_until = now + store.gap_s() * 0.4
             elif sign == "full":
-                e.pause_until = now + store.gap_s() * 0.2
+                e.paused_until = now + store.gap_s() * 0.2
             elif sign == "version":
-                e.proven(x.batch_job.model, rest)
+                e.record_revision(x.batch_job.model, rest)
             elif sign == "pace":
-                e.pace += 0.1 * (rest - e.pace)
+                e.seconds_per_event += 0.1 * (rest - e.seconds_per_event)
             else:
                 e.health.record(sign, now, rest)
--- a/archhatch/share_group/leader.py
+++ b/archhatch/share_group/leader.py
@@ -37,7 +37,7 @@
     async def run(self) -> None:
         store, turn = self.store, 0
         while True:
-            self.slots.load_limit.heed(store.config_watcher.live_totals)
+            self.slots.load_limit.update(store.config_watcher.live_totals)
             self.sync()
             self.recalls.recall_for_live_requests()
             self.recalls.recall_for_moves()
@@ -63,30 +63,34 @@
             if run is None:
                 run = self.runs[name] = LedPartitions(leadership, now)
                 self._restore(run)
-            for job_id in [k for k in run.queues if k not in leadership.batch_jobs or leadership.batch_jobs[k].ended]:
+            for job_id in [
+                k for k in run.queues if k not in leadership.batch_jobs or leadership.batch_jobs[k].is_ended
+            ]:
                 self._drop_lot(run, job_id)
             for batch_job in leadership.batch_jobs.values():
-                if batch_job.ended or (batch_job.listed >= batch_job.total and batch_job.job_id not in run.queues):
+                if batch_job.is_ended or (
+                    batch_job.listed_count >= batch_job.total and batch_job.job_id not in run.queues
+                ):
                     continue
                 route = lane_of(store.plan, batch_job)
                 if batch_job.job_id not in run.queues:
                     self._take_lot(run, batch_job)
                 if route is not None and run.entries[batch_job.job_id]:
-                    self.due.append((batch_job.taken + route.due_s, batch_job.job_id, batch_job, route, run))
+                    self.due.append((batch_job.accepted_at + route.due_s, batch_job.job_id, batch_job, route, run))
             self._take_back(run, now)
         self.due.sort(key=lambda x: x[:2])
 
     def _restore(self, run: LedPartitions) -> None:
         """Build the windows of the run's partitions from what the stores told of them."""
         found: dict[str, list] = {}
-        for head, body in run.leadership.window_recs:
+        for head, body in run.leadership.window_records:
             found.setdefault(head["part"], []).append((head, body))
         for shard, records in found.items():
             self._window(run, shard)
             run.journals[shard].restore(run.windows[shard], records, self.store.counters)
-        for batch_job in sorted(run.leadership.batch_jobs.values(), key=lambda x: (x.base, x.job_id)):
+        for batch_job in sorted(run.leadership.batch_jobs.values(), key=lambda x: (x.base_offset, x.job_id)):
             win = self._window(run, batch_job.model)
-            win.next_offset = max(win.next_offset, batch_job.base + batch_job.total)
+            win.next_offset = max(win.next_offset, batch_job.base_offset + batch_job.total)
 
     def _window(self, run: LedPartitions, shard: str) -> SharePartition:
         win = run.windows.get(shard)
@@ -97,16 +101,16 @@
 
     def _take_lot(self, run: LedPartitions, batch_job) -> None:
         win = self._window(run, batch_job.model)
-        q = run.queues[batch_job.job_id] = JobQueue(batch_job.want)
+        q = run.queues[batch_job.job_id] = JobQueue(batch_job.desired_count)
         mine = run.entries[batch_job.job_id] = {}
         ranks: dict = {}
         for it in batch_job.items.values():
             ranks.setdefault(it.group, len(ranks))
-            if it.iid in batch_job.done:
-                win.skip_final(batch_job.base + it.at)
+            if it.item_id in batch_job.positioned_items:
+                win.skip_final(batch_job.base_offset + it.at)
                 continue
-            e = win.append(batch_job, it, ranks[it.group], batch_job.base + it.at)
-            mine[it.iid] = e
+            e = win.append(batch_job, it, ranks[it.group], batch_job.base_offset + it.at)
+            mine[it.item_id] = e
             q.put(e)
 
     def _drop_lot(self, run: LedPartitions, job_id: str) -> None:
@@ -133,7 +137,7 @@
 
     def unplace(self, e: ShareEntry) -> None:
         if e.engine is not None:
-            e.engine.running[e.batch_job.model] -= 1
+            e.engine.running_items[e.batch_job.model] -= 1
             e.engine = None
 
     def _take_back(self, run: LedPartitions, now: float) -> None:
@@ -178,7 +182,7 @@
                 continue
             wake = {s.worker for s in run.workers.values() if s.cancellations}
             if any(q.waiting[0] or q.waiting[1] or q.later for q in run.queues.values()):
-                for e in self.store.engines.of(name):
+                for e in self.store.engines.of_service(name):
                     if self.slots.free_slots(e, now) > 0:
                         wake.add(self.slots.driver_of(run, e))
             for worker in wake:
@@ -290,14 +294,16 @@
             eng = self.store.engines.all.get(engine) if engine else None
             if eng is not None:
                 e.engine = eng
-                eng.running[e.batch_job.model] = eng.running.get(e.batch_job.model, 0) + 1
+                eng.running_items[e.batch_job.model] = eng.running_items.get(e.batch_job.model, 0) + 1
             kept.append([job_id, iid, e.offset, e.delivery_count])
         have = {(job_id, iid) for job_id, iid, _, _ in kept}
         for win in run.windows.values():
             for e in [
                 e
                 for e in win.locked.values()
-                if e.worker == seat.worker and not e.is_acknowledging and (e.batch_job.job_id, e.item.iid) not in have
+                if e.worker == seat.worker
+                and not e.is_acknowledging
+                and (e.batch_job.job_id, e.item.item_id) not in have
             ]:
                 self.again(run, e, "not_held")
         self.store.counters.add("share.attached", len(kept))
@@ -314,22 +320,26 @@
 
     def _hand_out(self, run: LedPartitions, seat: WorkerState, now: float) -> list:
         """Acquire entries for the free places of the engines that this worker drives."""
-        if not run.leadership.fresh() or not self._settled_in(run, now):
+        if not run.leadership.is_confirmed() or not self._settled_in(run, now):
             return []
         waiting = sum(q.waiting[0] + q.waiting[1] + len(q.later) for q in run.queues.values())
         if not waiting:
             return []
-        free = [(e, n) for e in self.store.engines.of(run.leadership.run) if (n := self.slots.free_slots(e, now)) > 0]
+        free = [
+            (e, n)
+            for e in self.store.engines.of_service(run.leadership.run)
+            if (n := self.slots.free_slots(e, now)) > 0
+        ]
         # while there are more places than entries, whoever asks first must not fill his engines and leave others idle
         share = math.ceil(waiting / max(1, len(free)))
-        room = {e.iid: [e, min(n, share)] for e, n in free if self.slots.driver_of(run, e) == seat.worker}
+        room = {e.instance_id: [e, min(n, share)] for e, n in free if self.slots.driver_of(run, e) == seat.worker}
         out: list = []
         for surplus in (False, True):
             for _, job_id, batch_job, route, owner in self.due:
                 if not room:
                     break
                 q = run.queues.get(job_id)
-                if owner is not run or q is None or batch_job.ended or not (q.waiting[surplus] or q.later):
+                if owner is not run or q is None or batch_job.is_ended or not (q.waiting[surplus] or q.later):
                     continue
                 self._from_lot(run, seat, q, batch_job, route, surplus, room, out, now)
         out.sort(key=lambda x: (x[0].batch_job.model, x[0].offset))
@@ -344,11 +354,11 @@
             iid
             for iid, (e, _) in room.items()
             if e.service in services
-            and batch_job.model not in e.held
-            and e.revs.get(batch_job.model, 1) >= batch_job.least
+            and batch_job.model not in e.held_models
+            and e.revisions.get(batch_job.model, 1) >= batch_job.min_revision
             and self.store.placement.allows(route, e.zone)
         ]
-        fit.sort(key=lambda i: (room[i][0].busy() / room[i][0].slots, room[i][0].pace))
+        fit.sort(key=lambda i: (room[i][0].running_count() / room[i][0].slots, room[i][0].seconds_per_event))
         while fit:
             for iid in list(fit):
                 e, _ = room[iid]
@@ -357,8 +367,8 @@
                     return
                 win.acquire(entry, seat.worker, now)
                 entry.engine = e
-                e.running[batch_job.model] = e.running.get(batch_job.model, 0) + 1
-                version = e.revs.get(batch_job.model, 1)
+                e.running_items[batch_job.model] = e.running_items.get(batch_job.model, 0) + 1
+                version = e.revisions.get(batch_job.model, 1)
                 if not entry.fits(version, route.single):
                     entry.drop_text()
                 out.append((entry, self._card(entry, e, version, route)))
@@ -375,25 +385,25 @@
             "off": x.offset,
             "dc": x.delivery_count,
             "lot": batch_job.job_id,
-            "iid": it.iid,
+            "iid": it.item_id,
             "host": batch_job.host,
             "path": it.path,
             "heads": it.heads,
             "tenant": batch_job.tenant,
             "payload": it.payload,
             "scorer": it.scorer,
-            "least": batch_job.least,
+            "least": batch_job.min_revision,
             "single": route.single,
             "sends": route.sends,
             "version": version,
-            "engine": e.iid,
+            "engine": e.instance_id,
             "addr": e.address,
             "service": e.service,
             "texts": x.texts,
             "last": x.last_id,
             "versions": sorted(x.versions),
             "fails": x.fails,
-            "key": [x.rank >= batch_job.want > 0, batch_job.taken + route.due_s, x.rank],
+            "key": [x.rank >= batch_job.desired_count > 0, batch_job.accepted_at + route.due_s, x.rank],
             "lock": self.lock_s,
         }
 
@@ -413,8 +423,8 @@
                 ]
                 for record in records:
                     try:
-                        await run.leadership.note(record)
+                        await run.leadership.replicate(record)
                     except DeposedError:
                         self.store.counters.add("share.zombie_write")
-                        run.leadership.over()
+                        run.leadership.step_down()
                         break
--- a/archhatch/share_group/recalls.py
+++ b/archhatch/share_group/recalls.py
@@ -25,17 +25,17 @@
             return
         for run in self.leader.runs.values():
             over: dict = {}
-            for e in self.store.engines.of(run.leadership.run):
-                n = e.busy() - self.slots.usable_slots(e)
+            for e in self.store.engines.of_service(run.leadership.run):
+                n = e.running_count() - self.slots.usable_slots(e)
                 if n > 0:
-                    over[e.iid] = n
+                    over[e.instance_id] = n
             if not over:
                 continue
             here: dict = {}
             for win in run.windows.values():
                 for x in win.locked.values():
-                    if x.engine is not None and x.engine.iid in over:
-                        here.setdefault(x.engine.iid, []).append(x)
+                    if x.engine is not None and x.engine.instance_id in over:
+                        here.setdefault(x.engine.instance_id, []).append(x)
             for iid, rows in here.items():
                 n = over[iid] - sum(1 for x in rows if x.recalled)
                 for x in sorted((x for x in rows if not x.recalled), key=lambda x: -x.locked_until)[: max(0, n)]:
--- a/archhatch/share_group/window.py
+++ b/archhatch/share_group/window.py
@@ -79,10 +79,10 @@
     def fits(self, version: int, single: bool) -> bool:
         """Whether a run under a version may go on with this text: the one place where that is decided.
 
-        >>> ShareEntry(0, type("L", (), {"least": 2})(), None, 0, texts=["a"], versions={3}).fits(4, True)
+        >>> ShareEntry(0, type("L", (), {"min_revision": 2})(), None, 0, texts=["a"], versions={3}).fits(4, True)
         False
         """
-        if version < self.batch_job.least or any(v < self.batch_job.least for v in self.versions):
+        if version < self.batch_job.min_revision or any(v < self.batch_job.min_revision for v in self.versions):
             return False
         return not (single and self.versions and self.versions != {version})
 
--- a/archhatch/share_group/window_journal.py
+++ b/archhatch/share_group/window_journal.py
@@ -30,7 +30,7 @@
 class WindowJournal:
     """Makes the records of one window and reads them back.
 
-    >>> # record = journal.next_record(window); await replicator.put(run, epoch, [record])
+    >>> # record = journal.next_record(window); await replicator.replicate(run, epoch, [record])
     """
 
     def __init__(self, run: str, partition: str):
--- a/archhatch/share_group/worker.py
+++ b/archhatch/share_group/worker.py
@@ -56,7 +56,7 @@
                 desk, lead = self.sessions[run], self._leader(run)
                 if lead is not None and lead[0] != desk.epoch:
                     desk.poke.set()  # another leads now: don't wait for the old one's answer
-            self.load_limit.heed(store.config_watcher.live_totals)
+            self.load_limit.update(store.config_watcher.live_totals)
             turn = await store.state_board.wait_for_change("work", turn, store.heartbeat_interval_s)
 
     async def leave(self) -> None:
--- a/archhatch/singleton_roles/group.py
+++ b/archhatch/singleton_roles/group.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..jobs import active
+from ..jobs import active_members
 from ..consensus.reconfiguration import GroupSize, UnreachableTimeouts, GroupView, desired_group
 from ..membership import rank
 
@@ -29,9 +29,9 @@
 
     def first(self, namespace: str) -> dict | None:
         """The first voters of a namespace: by rendezvous, one place after the other; None while stores are lacking."""
-        members = active(self.store.members())
+        members = active_members(self.store.members())
         up = {sid: member for sid, member in members.items() if self.store.membership.stays(sid)}
-        if not self.store.quorum.spares(up):
+        if not self.store.quorum.tolerates_losses(up):
             return None
         chosen: list[str] = []
         order = rank(namespace, up)
@@ -48,7 +48,7 @@
         voters = state["voters"]
         spares = {
             sid: member["addr"]
-            for sid, member in active(members).items()
+            for sid, member in active_members(members).items()
             if sid not in voters and self.store.membership.stays(sid) and self.store.membership.takes(sid)
         }
         leaving = {sid for sid in voters if self._leaves(sid, members)}
--- a/archhatch/store/departure.py
+++ b/archhatch/store/departure.py
@@ -8,7 +8,7 @@
 
 import asyncio
 
-from ..jobs import active
+from ..jobs import active_members
 from ..rollout_controller.leadership_term import ORDER
 
 MEMBERSHIP = "the membership"  # stands for all runs in what is logged
@@ -36,7 +36,7 @@
         ]
         await asyncio.wait(steps, timeout=store.settings.seconds("GraceS", BOUND))
         for leadership in list(store.leaderships.values()):
-            leadership.over()
+            leadership.step_down()
         store.leader.sync()
         while self._order_may_bind() and self._others_stay() and store.clock.now() < end:
             await asyncio.sleep(store.heartbeat_interval_s)
@@ -56,7 +56,9 @@
         others with too few copies of it.
         """
         store = self.store
-        last = max((at for notes in store.record_store.orders.values() for at in notes.values()), default=float("-inf"))
+        last = max(
+            (at for notes in store.record_store.order_intents.values() for at in notes.values()), default=float("-inf")
+        )
         return store.clock.now() - last < store.settings.seconds("LeaseMs", 1 + ORDER)
 
     async def _give_up_membership(self) -> None:
@@ -64,14 +66,14 @@
         store = self.store
         stay = {
             sid: member
-            for sid, member in active(store.members()).items()
+            for sid, member in active_members(store.members()).items()
             if sid != store.id and store.membership.stays(sid)
         }
-        if store.id not in store.members() or not store.quorum.spares(stay):
+        if store.id not in store.members() or not store.quorum.tolerates_losses(stay):
             return
         wait = store.settings.seconds("ContactMs", ASK)
         code, _ = await store.config_watcher.run_command(
-            "plan", "store.leave", {"id": store.id, "quorum": store.quorum.doc()}, timeout_s=wait
+            "plan", "store.leave", {"id": store.id, "quorum": store.quorum.to_document()}, timeout_s=wait
         )
         self.asked = code == 1000
         store.counters.add(f"leave.asked.{code}")
--- a/archhatch/store/evacuation.py
+++ b/archhatch/store/evacuation.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from ..jobs import BatchJob, active
+from ..jobs import BatchJob, active_members
 from ..evacuation.record import Move, Place, EvacuationState
 from ..rollout_controller.repair import BURST
 
@@ -75,7 +75,7 @@
         return self.store.placement.region_of.get(zone)
 
     def _stores_in(self, region: str) -> dict:
-        return {sid: m for sid, m in active(self.store.members()).items() if self._region(m["zone"]) == region}
+        return {sid: m for sid, m in active_members(self.store.members()).items() if self._region(m["zone"]) == region}
 
     # -- rounds
 
@@ -94,23 +94,23 @@
         """Bring copies where they are needed, and report, for each run that this store leads."""
         for run, leadership in list(self.store.leaderships.items()):
             move = self.move_of(run)
-            if move is None or move.copies_in is None or not leadership.fresh():
+            if move is None or move.copies_in is None or not leadership.is_confirmed():
                 continue
-            copied = await self._copy(leadership, self._stores_in(move.copies_in)) and not leadership.pending
+            copied = await self._copy(leadership, self._stores_in(move.copies_in)) and not leadership.pending_jobs
             await self._report(move, leadership, copied, self._drained(run, move))
 
     async def _copy(self, leadership, goal: dict) -> bool:
         """Copy what the goal's stores have too little of; whether they have enough of every open lot now."""
         store = self.store
-        if not store.quorum.enough(goal, goal):
+        if not store.quorum.has_enough_copies(goal, goal):
             return False
         elsewhere = [sid for sid in store.members() if sid not in goal]
         lacking = [
             (batch_job, record)
             for batch_job in list(leadership.batch_jobs.values())
-            if not batch_job.ended
+            if not batch_job.is_ended
             for record in batch_job.records
-            if not store.quorum.enough(record.held, goal)
+            if not store.quorum.has_enough_copies(record.held, goal)
         ]
         for shard in _parts(lacking):
             sends = [
@@ -123,9 +123,9 @@
             store.counters.add("evacuation.copies", len(sends))
             for send in sends:
                 if await send is False:
-                    leadership.over()
+                    leadership.step_down()
                     return False
-        return all(store.quorum.enough(record.held, goal) for _, record in lacking)
+        return all(store.quorum.has_enough_copies(record.held, goal) for _, record in lacking)
 
     def _drained(self, run: str, move: Move) -> bool:
         """Whether nothing of the run is at work, and it is not led, where it should not be any more."""
--- a/archhatch/store/handlers.py
+++ b/archhatch/store/handlers.py
@@ -61,7 +61,7 @@
         out = await store.disk.watch(store.record_store.prepare(doc["run"], doc["term"]))
         leadership = store.leaderships.get(doc["run"])
         if out["ok"] and leadership is not None and leadership.term < doc["term"]:
-            leadership.over()
+            leadership.step_down()
         return out
 
     async def _append(self, doc, body):
@@ -87,7 +87,7 @@
 
     def _reign_of(self, job_id: str) -> LeadershipTerm:
         leaderships = self.store.leaderships.values()
-        if any(job_id in leadership.pending for leadership in leaderships if leadership.state == "holding"):
+        if any(job_id in leadership.pending_jobs for leadership in leaderships if leadership.state == "holding"):
             raise CallRefusedError(3004)
         for leadership in leaderships:
             if job_id in leadership.batch_jobs and leadership.state == "holding":
@@ -104,29 +104,29 @@
         leadership = self.store.leaderships.get(doc["run"])
         if leadership is None or leadership.state != "holding" or self.store.leaving or leadership.term < doc["term"]:
             raise CallRefusedError(3004 if may_be_taken(self.store, doc["run"], doc["lot"]) else 3005)
-        if doc["lot"] in leadership.pending:
+        if doc["lot"] in leadership.pending_jobs:
             raise CallRefusedError(3004)
         if doc["lot"] not in leadership.batch_jobs and not self.store.membership.admits(doc["lot"], len(body)):
             raise CallRefusedError(3004 if may_be_taken(self.store, doc["run"], doc["lot"]) else 3008)
         try:
-            await leadership.put(doc, body)
+            await leadership.accept_job(doc, body)
         except DeposedError:
-            leadership.over()
+            leadership.step_down()
             raise CallRefusedError(3004) from None
         return self._signed(leadership)
 
     async def _read(self, doc, body):
         leadership = self._reign_of(doc["lot"])
-        page = await leadership.read(doc["lot"], doc["after"], doc["hold"])
+        page = await leadership.read_results(doc["lot"], doc["after"], doc["hold"])
         if page is None:
             raise CallRefusedError(3004)
         return self._signed(leadership), page
 
     async def _item(self, doc, body):
         leadership = self._reign_of(doc["lot"])
-        if not leadership.fresh():
+        if not leadership.is_confirmed():
             raise CallRefusedError(3004)
-        raw = leadership.item(doc["lot"], doc["item"])
+        raw = leadership.item_payload(doc["lot"], doc["item"])
         if raw is None:
             raise CallRefusedError(2007, "item")
         return self._signed(leadership), raw
@@ -134,9 +134,9 @@
     async def _end(self, doc, body):
         leadership = self._reign_of(doc["lot"])
         try:
-            await leadership.end(doc["lot"])
+            await leadership.end_job(doc["lot"])
         except DeposedError:
-            leadership.over()
+            leadership.step_down()
             raise CallRefusedError(3004) from None
         return self._signed(leadership)
 
@@ -155,7 +155,7 @@
     store can know: then a refusal must not promise that it was not."""
     leadership = store.leaderships.get(run)
     if job_id in store.record_store.batch_jobs or any(
-        job_id in other.offered or job_id in other.batch_jobs for other in store.leaderships.values()
+        job_id in other.offered_jobs or job_id in other.batch_jobs for other in store.leaderships.values()
     ):
         return True
     return leadership is not None and leadership.state == "reading"
--- a/archhatch/store/join.py
+++ b/archhatch/store/join.py
@@ -59,7 +59,7 @@
             store.counters.add("join.put_off")
             return
         terms = {run: lease["term"] for _, leases in answers for run, lease in leases.items()}
-        fresh = [(run, term) for run, term in terms.items() if term > store.record_store.promised.get(run, 0)]
+        fresh = [(run, term) for run, term in terms.items() if term > store.record_store.promised_terms.get(run, 0)]
         try:
             await asyncio.gather(*(store.disk.watch(store.record_store.prepare(run, term)) for run, term in fresh))
         except LogError:
@@ -77,11 +77,11 @@
             store.log.warning("store {} was dropped; {}", store.id, "it is retired" if retired else "it starts over")
         store.ready = False
         for leadership in store.leaderships.values():
-            leadership.over()
+            leadership.step_down()
         if retired or store.leaving:
             return  # it ends: a new id would make it a member again
         try:
-            await store.disk.watch(store.record_store.start_over(f"s-{random.getrandbits(64):016x}"))
+            await store.disk.watch(store.record_store.reset(f"s-{random.getrandbits(64):016x}"))
         except LogError:
             store.counters.add("join.put_off")
             return
--- a/archhatch/store/lease_watch.py
+++ b/archhatch/store/lease_watch.py
@@ -46,7 +46,7 @@
         leases = store.leases()
         self._members, self._slow = store.members(), store.membership.slow()
         for leadership in store.leaderships.values():
-            leadership.note_progress()
+            leadership.record_progress_if_confirmed()
         for run in sorted(set(store.plan.models().values()) | set(register.get("runs", {}))):
             step = self.step(run, leases.get(run))
             task = self._tasks.get(run)
@@ -63,14 +63,14 @@
             self._lost.pop(run, None)
             return self._own(run, lease, leadership)
         if leadership is not None and lease and lease["term"] > leadership.term:
-            leadership.over()
+            leadership.step_down()
         return others_step(self._others(run, lease), store.heartbeat_interval_s * STAGGER)
 
     def _own(self, run: str, lease: dict, leadership) -> Step:
         store = self.store
         begun = leadership is not None and leadership.term >= lease["term"]
         phase = Phase(leadership.state) if begun else Phase.NONE
-        slow = begun and self._slow and store.clock.now() - leadership.began > store.quiet_s * SETTLED
+        slow = begun and self._slow and store.clock.now() - leadership.began_at > store.quiet_s * SETTLED
         displaced = begun and store.evacuation.leads_elsewhere(run)
         own = OwnLease(phase, takes=store.disk.takes, slow=slow, displaced=displaced)
         if slow or displaced or not store.disk.takes:  # only then who would follow matters
@@ -166,7 +166,7 @@
 
     def _note_renewal(self, run: str) -> None:
         now, leadership = self.store.clock.now(), self.store.leaderships[run]
-        early = leadership.ended_at - leadership.began < self.store.quiet_s * SETTLED
+        early = leadership.ended_at - leadership.began_at < self.store.quiet_s * SETTLED
         count, _ = self._renewals.get(run, (0, now))
         self._renewals[run] = (count + 1 if early else 0, now)
 
@@ -192,7 +192,7 @@
         if old is not None:
             if old.term >= term:
                 return
-            old.over()
+            old.step_down()
         leadership = store.leaderships[run] = LeadershipTerm(store, run, term)
         store.task_group.spawn("reign", leadership.begin)
 
@@ -206,6 +206,6 @@
         store.counters.add("lead.handed_on")
         leadership = store.leaderships.get(run)
         if leadership is not None and leadership.term <= term:
-            leadership.over()
+            leadership.step_down()
             store.leader.sync()
         return True
--- a/archhatch/store/membership.py
+++ b/archhatch/store/membership.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from ..jobs import active
+from ..jobs import active_members
 from ..membership import PeerSet
 from ..rpc import CallError
 from .heartbeat import HeartbeatStatus
@@ -51,7 +51,7 @@
 
     def admits(self, job_id: str, size: int) -> bool:
         """Whether a new lot may be taken: enough stores in touch have the room for its copies."""
-        members = active(self.store.members())
+        members = active_members(self.store.members())
         roomy = [
             sid
             for sid in members
@@ -60,8 +60,8 @@
             and self.takes(sid)
             and (sid not in self.words or self.words[sid].roomy)
         ]
-        here = [self.store.id] if self.store.disk.takes and self.store.record_store.admits(job_id, size) else []
-        return self.store.quorum.enough(roomy + here, members)
+        here = [self.store.id] if self.store.disk.takes and self.store.record_store.can_admit(job_id, size) else []
+        return self.store.quorum.has_enough_copies(roomy + here, members)
 
     def departing(self, sid: str) -> bool:
         """Whether a store said that it is about to end."""
@@ -77,24 +77,24 @@
     def confirmed(self, run: str, term: int, timeout_s: float) -> bool:
         """Whether so many stores, this one among them, said within secs that they know no higher term of a run that no
         other can have gathered its holder's right without one of them."""
-        if self.store.record_store.promised.get(run, 0) > term:
+        if self.store.record_store.promised_terms.get(run, 0) > term:
             return False
         now = self.store.clock.now()
         good = {
             sid for sid, (at, promised) in self.proofs.items() if now - at <= timeout_s and promised.get(run, 0) <= term
         }
-        return self.store.quorum.enough(good | {self.store.id}, active(self.store.members()))
+        return self.store.quorum.has_enough_copies(good | {self.store.id}, active_members(self.store.members()))
 
     def hears_enough(self) -> bool:
         """Whether this store hears so many that a gather could succeed: the others would not do better."""
         members = self.store.members()
-        return self.store.quorum.heard([sid for sid in members if self.store.alive(sid)], members)
+        return self.store.quorum.has_heard_enough([sid for sid in members if self.store.alive(sid)], members)
 
     def gatherable(self) -> bool:
         """Whether enough stores are in touch and can write down a promise that a successor's gather could succeed."""
         members = self.store.members()
         able = [sid for sid in members if self.store.alive(sid) and self.takes(sid)]
-        return self.store.quorum.heard(able, members)
+        return self.store.quorum.has_heard_enough(able, members)
 
     def lags(self, names) -> dict:
         """How late the timers of these stores are."""
@@ -113,7 +113,7 @@
 
     def fit_to_lead(self) -> list:
         """The active stores in touch whose disks take records, without those that are slow if others are left."""
-        members = active(self.store.members())
+        members = active_members(self.store.members())
         names = [sid for sid in members if self.stays(sid) and self.takes(sid)]
         lags = self.lags(names)
         row = sorted(lags.values())
@@ -137,7 +137,7 @@
         store = self.store
         return HeartbeatStatus(
             store.card(),
-            store.record_store.promised if store.ready else None,
+            store.record_store.promised_terms if store.ready else None,
             self.lag,
             takes=store.disk.takes and store.ready and not store.leaving,
             roomy=store.record_store.has_room(0),
@@ -145,7 +145,9 @@
             oldest_write_s=store.disk.oldest_write_s(),
             demand=store.leader.demand() if store.capacity.enabled else {},
             leads={
-                run: leadership.leading() for run, leadership in store.leaderships.items() if leadership.state != "over"
+                run: leadership.heartbeat_entry()
+                for run, leadership in store.leaderships.items()
+                if leadership.state != "over"
             },
         )
 
--- a/archhatch/store/node.py
+++ b/archhatch/store/node.py
@@ -19,7 +19,7 @@
 from ..rpc import CallError, ConnectionPool, Handlers, CallRefusedError, Server
 from ..upstream import UpstreamClient, LoadBalancer
 from ..rollout_controller import Engines, WeightOrders, LeadershipTerm
-from ..rollout_controller.leadership_term import fetch_over
+from ..rollout_controller.leadership_term import fetch_records
 from ..usage.reporter import UsageReporter
 from ..wal import WriteAheadLog
 from .departure import Departure
@@ -50,7 +50,7 @@
         self.incarnation = f"{random.getrandbits(48):012x}"
         self.heartbeat_interval_s = settings.seconds("ContactMs", 1 / 15)
         self.quiet_s = settings.seconds("ContactMs", 0.25)
-        self.quorum = Quorum.of(settings)
+        self.quorum = Quorum.from_settings(settings)
         self.engines = Engines()
         self.load_balancer = LoadBalancer(
             settings.zone, settings.node_name, rest_s=settings.seconds("ContactMs", 0.2), widen=0.5
@@ -242,14 +242,14 @@
 
     async def fetch(self, sid, address, job_id, poss, batch_job):
         """Records of a lot from another store, or None."""
-        return await fetch_over(self, sid, address, job_id, poss, batch_job)
+        return await fetch_records(self, sid, address, job_id, poss, batch_job)
 
     async def _roll_loop(self) -> None:
         turn = 0
         while True:
             entries = self.config_watcher.take_changed_replicas()
             self.load_balancer.fold(entries)
-            self.engines.fold(entries)
+            self.engines.apply_entries(entries)
             if entries:
                 self.state_board.notify("work")
                 self.state_board.notify("orders")
--- a/archhatch/store/repair.py
+++ b/archhatch/store/repair.py
@@ -25,7 +25,7 @@
         """One round after the other."""
         store, turn = self.store, 0
         while True:
-            lacking = any(leadership.lacks_copies() for leadership in store.leaderships.values())
+            lacking = any(leadership.needs_repair() for leadership in store.leaderships.values())
             turn = await store.state_board.wait_for_change(
                 "members", turn, store.heartbeat_interval_s * (1 if lacking else PACE)
             )
@@ -35,9 +35,9 @@
         """Mend all runs that this store leads, side by side; then forget and shorten what nobody needs."""
         store = self.store
         holding = [leadership for leadership in store.leaderships.values() if leadership.state == "holding"]
-        await asyncio.gather(*(leadership.mend() for leadership in holding))
+        await asyncio.gather(*(leadership.repair() for leadership in holding))
         for leadership in holding:
-            leadership.forget()
+            leadership.forget_old_jobs()
         keep_s, now = store.settings.seconds("StatusS", 2), store.clock.now()
         old = [
             job_id
--- a/benchmarks/microbench.py
+++ b/benchmarks/microbench.py
@@ -75,8 +75,8 @@
 def engines(count):
     es, ents = Engines(), entries(count)
     out = {"engines fold, each entry new": least(lambda k: Engines().fold(ents), 1, 1) / count}
-    es.fold(ents)
-    out["engines of a service"] = least(lambda k: es.of("s0"), max(20, 20000 // count))
+    es.apply_entries(ents)
+    out["engines of a service"] = least(lambda k: es.of_service("s0"), max(20, 20000 // count))
     return out
 
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -459,7 +459,7 @@
 class _LogCopier(FakeCopier):
     """Has records on this store's disk, and tells that another has them as well."""
 
-    async def put(self, run, term, records):
+    async def replicate(self, run, term, records):
         assert all(await self.store.record_store.append([Record({**r.head, "by": term}, r.body) for r in records]))
         for record in records:
             record.held |= {"me", "b"}
@@ -507,35 +507,35 @@
             "path": "/lots/",
             "tenant": "yards" if job_id == "lot-1" else None,
         }
-        await first.put(head, orjson.dumps(LOT))
-    await first.intend("replica-1")
+        await first.accept_job(head, orjson.dumps(LOT))
+    await first.record_order_intent("replica-1")
     for n in (1, 2):
         clock.at += 0.0625
-        await first.list_result(first.batch_jobs["lot-1"], f"i{n}", {**RESULT, "InstanceId": f"i{n}"})
-    await first.list_result(first.batch_jobs["lot-2"], "i1", RESULT)
-    await first.end("lot-2")
+        await first.append_result(first.batch_jobs["lot-1"], f"i{n}", {**RESULT, "InstanceId": f"i{n}"})
+    await first.append_result(first.batch_jobs["lot-2"], "i1", RESULT)
+    await first.end_job("lot-2")
     window = SharePartition("llm-a", 1, lock_s=30.0, max_locks=200)
     for record in _work(window, WindowJournal("llm", "llm-a")):
-        await first.note(record)
+        await first.replicate(record)
     # the second term reads all that, and writes anew what too few stores hold
     clock.at += 10
     second = await _hold_run(store, "llm", 2)
     clock.at += 0.5
-    await second.intend("replica-2")
-    await second.list_result(second.batch_jobs["lot-1"], "i3", {**RESULT, "InstanceId": "i3"})
+    await second.record_order_intent("replica-2")
+    await second.append_result(second.batch_jobs["lot-1"], "i3", {**RESULT, "InstanceId": "i3"})
     restored, journal = SharePartition("llm-a", 2, lock_s=30.0, max_locks=200), WindowJournal("llm", "llm-a")
-    journal.restore(restored, second.window_recs, Counters())
+    journal.restore(restored, second.window_records, Counters())
     restored.archive(restored.append(None, None, 0))
-    await second.note(journal.next_record(restored))
+    await second.replicate(journal.next_record(restored))
     # a delta of another partition, whose snapshot this store never got
     other, behind = SharePartition("llm-b", 2, lock_s=30.0, max_locks=200), WindowJournal("llm", "llm-b")
     behind.next_record(other)
     other.archive(other.append(None, None, 0))
-    await second.note(behind.next_record(other))
+    await second.replicate(behind.next_record(other))
     assert (await record_store.prepare("fast", 4))["ok"]
     out = {"store.appended": only_file(folder, "store")}
     await wal.rewrite()
-    await second.end("lot-1")
+    await second.end_job("lot-1")
     await wal.close()
     out["store.rewritten"] = only_file(folder, "store")
     return out
@@ -564,7 +564,7 @@
     clock = HandClock()
     record_store = RecordStore(WriteAheadLog(str(folder), "store", clock=clock), clock, Counters())
     record_store.load(record_store.wal.load())
-    told = record_store.told("llm")
+    told = record_store.describe_run("llm")
     batch_jobs = {
         job_id: [[r.head, r.body.decode()] for r in record_store.fetch(job_id, [0, 1, 2], True)]
         for job_id in sorted(told["lots"])
@@ -578,7 +578,7 @@
         windows[shard] = [window.start_offset, window.next_offset, counts, journal.snapshot_epoch]
     state = {
         "id": record_store.id,
-        "promised": record_store.promised,
+        "promised": record_store.promised_terms,
         "told": told,
         "lots": batch_jobs,
         "windows": windows,
@@ -896,8 +896,8 @@
         clock = HandClock()
         record_store = RecordStore(WriteAheadLog(str(tmp_path), "store", clock=clock), clock, Counters())
         record_store.load(record_store.wal.load())
-        told = record_store.told("llm")
-        assert record_store.id == "s-0001" and record_store.promised == {"llm": 1}
+        told = record_store.describe_run("llm")
+        assert record_store.id == "s-0001" and record_store.promised_terms == {"llm": 1}
         assert told["lots"] == {"lot-1": {"lot": True, "end": False, "results": [[0, 1, "i1"]]}}
         assert (told["orders"], told["noted"], told["tick"]) == ({"replica-1": 0.0}, {}, None)
         record_store.wal.start()
@@ -906,7 +906,12 @@
         store.replicator = _LogCopier(store)
         leadership = await _hold_run(store, "llm", 2)
         batch_job = leadership.batch_jobs["lot-1"]
-        assert (batch_job.model, batch_job.base, batch_job.tenant, [r.head["item"] for r in batch_job.results]) == (
+        assert (
+            batch_job.model,
+            batch_job.base_offset,
+            batch_job.tenant,
+            [r.head["item"] for r in batch_job.results],
+        ) == (
             "llm-a",
             0,
             None,
--- a/tests/jobs/test_batch_job.py
+++ b/tests/jobs/test_batch_job.py
@@ -36,8 +36,8 @@
     batch_job = read_job({"lot": "l", "run": "m", "host": "h", "path": "/p/"}, raw, 5.0)
     assert (
         batch_job.total == 2
-        and batch_job.least == 2
-        and batch_job.want == 1
+        and batch_job.min_revision == 2
+        and batch_job.desired_count == 1
         and batch_job.items["i1"].heads == [("A", "b")]
     )
 
@@ -107,7 +107,7 @@
         if promised:
             await record_store.prepare("m", promised)
         assert await record_store.append([record("L", by=by)]) == [taken]
-        assert record_store.promised["m"] == after and ("l" in record_store.batch_jobs) is taken
+        assert record_store.promised_terms["m"] == after and ("l" in record_store.batch_jobs) is taken
 
     run(go())
 
@@ -145,10 +145,10 @@
         await record_store.append([record("L", by=4), record(pos=0, term=3, by=4)])
         again = RecordStore(wal, clock, Counters())
         again.load(wal.raws)
-        assert again.promised == {"m": 4} and again.batch_jobs["l"]["results"][0].head["term"] == 3
+        assert again.promised_terms == {"m": 4} and again.batch_jobs["l"]["results"][0].head["term"] == 3
         third = RecordStore(wal, clock, Counters())
         third.load(again.snapshot())
-        assert third.promised == again.promised and third.batch_jobs.keys() == again.batch_jobs.keys()
+        assert third.promised_terms == again.promised_terms and third.batch_jobs.keys() == again.batch_jobs.keys()
 
     run(go())
 
@@ -156,7 +156,7 @@
 def test_page_gives_at_least_one_and_no_more_than_fits():
     batch_job = read_job({"lot": "l", "run": "m", "host": "h", "path": "/p/"}, orjson.dumps(LOT), 0.0)
     batch_job.results = [record(pos=n, body=b"y" * 600) for n in range(3)]
-    batch_job.listed = 2
+    batch_job.listed_count = 2
     assert batch_job.page(0, most=10) == ([b"y" * 600], 1)
     assert batch_job.page(0) == ([b"y" * 600] * 2, 2)
     assert batch_job.page(2) == ([], 2) and batch_job.page(7) == ([], 7)
@@ -175,6 +175,6 @@
         assert await again.append([Record({"k": "O", "lot": "", "run": "m", "iid": "e2", "by": 2})]) == [False]
         clock.at += 7
         again.forget([], 6.0)
-        assert again.orders == {"m": {}}
+        assert again.order_intents == {"m": {}}
 
     run(go())
--- a/tests/jobs/test_quorum.py
+++ b/tests/jobs/test_quorum.py
@@ -19,7 +19,7 @@
 from archhatch.runtime.settings import check_settings
 from archhatch.rollout_controller import LeadershipTerm
 from archhatch.data_plane.job_handlers import JobHandlers
-from archhatch.jobs import Replicator, Quorum, Record, RecordStore, active
+from archhatch.jobs import Replicator, Quorum, Record, RecordStore, active_members
 from archhatch.jobs.replicator import SHUN
 from archhatch.jobs.record import pack_many, unpack_many
 from archhatch.rpc import CallError
@@ -103,7 +103,7 @@
             TaskGroup(LOG, self.counters),
             site,
             self,
-            Quorum.of(site.settings),
+            Quorum.from_settings(site.settings),
         )
         self.replicator = Replicator(
             sid, self.record_store, site, self.members, self.alive, self.task_group, self.counters, 0.05, self.quorum
@@ -139,7 +139,7 @@
         """What pings would have brought from these stores."""
         for sid in names:
             place = self.site.value["stores"][sid]["ip"]
-            self.proofs[sid] = (self.clock.now(), dict(self.site.at[place].record_store.promised))
+            self.proofs[sid] = (self.clock.now(), dict(self.site.at[place].record_store.promised_terms))
 
     async def leadership(self, term):
         leadership = LeadershipTerm(self, "s", term)
@@ -151,9 +151,9 @@
 async def accepted(site, at, term=1):
     """A holder that took a lot and listed a result."""
     leadership = await site.at[at].leadership(term)
-    await leadership.put({"lot": "l", "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
-    await leadership.list_result(leadership.batch_jobs["l"], "i1", {"a": 1})
-    assert leadership.batch_jobs["l"].listed == 1
+    await leadership.accept_job({"lot": "l", "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
+    await leadership.append_result(leadership.batch_jobs["l"], "i1", {"a": 1})
+    assert leadership.batch_jobs["l"].listed_count == 1
     return leadership
 
 
@@ -196,10 +196,10 @@
             new = next(p for p in site.at if p in lost or n == 1 or p not in held)
             leadership = await site.at[new].leadership(term)
             batch_job = leadership.batch_jobs["l"]
-            assert batch_job.listed == 1 and batch_job.page(0)[0] == [b'{"a":1}']
-            await leadership.mend()
+            assert batch_job.listed_count == 1 and batch_job.page(0)[0] == [b'{"a":1}']
+            await leadership.repair()
             assert all(m["state"] == "active" for m in site.value["stores"].values())  # and none leaves any more
-            assert all(site.at[new].replicator.enough(r) for r in batch_job.records)
+            assert all(site.at[new].replicator.has_enough_copies(r) for r in batch_job.records)
             assert len([p for p in site.holders("l") if site.at[p].id in site.value["stores"]]) >= f + 1
 
     run(go())
@@ -257,7 +257,7 @@
         site.at["p4"].replicator.alive = site.at["p4"].alive
         leadership = LeadershipTerm(site.at["p4"], "s", 1)
         leadership.gathered()  # the lot comes to stores that the edge has not heard of
-        await leadership.put({"lot": "l", "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
+        await leadership.accept_job({"lot": "l", "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
         assert site.holders("l") == ["p3", "p4"]
         site.dark = set()
         site.to = lambda address, to=site.to: to(address.rsplit(":", 1)[0])
@@ -292,9 +292,9 @@
         leadership = await accepted(site, "p0")
         leadership.store.proofs.clear()
         leadership.store.hear([site.at[f"p{i}"].id for i in range(1, heard + 1)])
-        assert leadership.fresh() is good and leadership.may_order() is good
+        assert leadership.is_confirmed() is good and leadership.may_order() is good
         clock.at += 30  # what was said long ago proves nothing
-        assert leadership.fresh() is (f == 0) and leadership.may_order() is (f == 0)
+        assert leadership.is_confirmed() is (f == 0) and leadership.may_order() is (f == 0)
 
     run(go())
 
@@ -313,10 +313,10 @@
         site.dark = set()
         old.store.proofs.clear()
         old.store.hear([site.at[p].id for p in unheard[1:]])
-        assert not old.fresh() and not old.may_order() and old.state == "holding"
+        assert not old.is_confirmed() and not old.may_order() and old.state == "holding"
         old.store.hear([n.id for n in site.at.values()])
-        assert not old.fresh() and not old.may_order()
-        assert new.fresh() and new.may_order()
+        assert not old.is_confirmed() and not old.may_order()
+        assert new.is_confirmed() and new.may_order()
 
     run(go())
 
@@ -343,7 +343,7 @@
             site.value["stores"][other.id]["state"] = "leaving"
         if who == "gone":
             del site.value["stores"][other.id]
-        assert leadership.fresh() is good
+        assert leadership.is_confirmed() is good
 
     run(go())
 
@@ -365,8 +365,10 @@
             site.dark = {m["ip"] for m in site.value["stores"].values() if m["zone"] in lost}
             at = next(p for p in site.at if p not in site.dark)
             leadership = await site.at[at].leadership(2)
-            assert leadership.batch_jobs["l"].listed == 1 and leadership.fresh()
-            assert not site.at[at].quorum.enough([site.at[p].id for p in site.dark], active(site.value["stores"]))
+            assert leadership.batch_jobs["l"].listed_count == 1 and leadership.is_confirmed()
+            assert not site.at[at].quorum.has_enough_copies(
+                [site.at[p].id for p in site.dark], active_members(site.value["stores"])
+            )
 
     run(go())
 
@@ -392,7 +394,7 @@
 
         async def put(job_id):
             asked.clear()
-            await leadership.put({"lot": job_id, "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
+            await leadership.accept_job({"lot": job_id, "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
             return slow in asked
 
         assert await put("l1") and slow not in site.holders("l1") and len(site.holders("l1")) == 2
@@ -411,10 +413,10 @@
     async def go():
         site = Site(clock, quorum_settings(Machines=1), 4)
         leadership = await accepted(site, "p0")
-        await leadership.mend()
+        await leadership.repair()
         assert len(site.holders("l")) == 2 and "mend.records" not in leadership.store.counters.counts
         site.dark = {next(p for p in site.holders("l") if p != "p0")}
-        await leadership.mend()
+        await leadership.repair()
         assert len(site.holders("l")) == 3
 
     run(go())
@@ -441,20 +443,23 @@
         site = Site(clock, quorum_settings(Machines=1), 4)
         leadership = await accepted(site, "p0")
         counters = leadership.store.counters.counts
-        await leadership.mend()
+        await leadership.repair()
         before = counters["mend.looked"], counters.get("mend.records", 0)
         change(site)
         for _ in range(3):
-            await leadership.mend()
+            await leadership.repair()
         # the lot and its result once in the walk, and what lacks copies once more to send it
         assert (counters["mend.looked"] - before[0], counters.get("mend.records", 0) - before[1]) == (
             looked and 2 + sent,
             sent,
         )
-        assert not leadership.mending.thin
-        await leadership.list_result(leadership.batch_jobs["l"], "i2", {})  # new records need no look
-        await leadership.mend()
-        assert counters["mend.looked"] - before[0] == (looked and 2 + sent) and leadership.batch_jobs["l"].listed == 2
+        assert not leadership.record_repair.thin
+        await leadership.append_result(leadership.batch_jobs["l"], "i2", {})  # new records need no look
+        await leadership.repair()
+        assert (
+            counters["mend.looked"] - before[0] == (looked and 2 + sent)
+            and leadership.batch_jobs["l"].listed_count == 2
+        )
 
     run(go())
 
@@ -477,12 +482,12 @@
         site.wipe(gone)
         site.dark = {gone, spare}
         leadership.store.alive = leadership.store.replicator.alive = lambda sid: True
-        await leadership.mend()
-        assert len(leadership.mending.thin) == 2 and site.value["stores"][old]["state"] == "leaving"
+        await leadership.repair()
+        assert len(leadership.record_repair.thin) == 2 and site.value["stores"][old]["state"] == "leaving"
         if answers:
             site.dark = set()
-            await leadership.mend()
-        assert (old not in site.value["stores"]) is answers and bool(leadership.mending.thin) is not answers
+            await leadership.repair()
+        assert (old not in site.value["stores"]) is answers and bool(leadership.record_repair.thin) is not answers
 
     run(go())
 
@@ -492,7 +497,7 @@
         site = Site(clock, quorum_settings(Machines=1), 3)
         leadership = await accepted(site, "p0")
         for n in range(40):
-            await leadership.put({"lot": f"l{n}", "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
+            await leadership.accept_job({"lot": f"l{n}", "run": "s", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
         gone, calls = with_copies(site), []
         site.wipe(gone)
         real = site.call
@@ -502,8 +507,8 @@
             return await real(address, verb, *a, **kwargs)
 
         site.call = call
-        await leadership.mend()
-        assert not leadership.mending.thin and len(calls) <= 4
+        await leadership.repair()
+        assert not leadership.record_repair.thin and len(calls) <= 4
 
     run(go())
 
@@ -528,7 +533,7 @@
     ],
 )
 def test_enough(q, held, enough):
-    assert q.enough(held, MEMBERS) is enough
+    assert q.has_enough_copies(held, MEMBERS) is enough
 
 
 @pytest.mark.parametrize(
@@ -538,8 +543,10 @@
 def test_enough_copies_and_a_gather_share_a_store(q):
     names = sorted(MEMBERS)
     sets = [set(c) for k in range(len(names) + 1) for c in itertools.combinations(names, k)]
-    small = [s for s in sets if q.enough(s, MEMBERS) and not any(q.enough(s - {x}, MEMBERS) for x in s)]
-    heard = [s for s in sets if q.heard(s, MEMBERS)]
+    small = [
+        s for s in sets if q.has_enough_copies(s, MEMBERS) and not any(q.has_enough_copies(s - {x}, MEMBERS) for x in s)
+    ]
+    heard = [s for s in sets if q.has_heard_enough(s, MEMBERS)]
     assert small and heard and all(a & b for a in small for b in heard)
 
 
@@ -557,7 +564,7 @@
     ],
 )
 def test_pick(q, held, order, picked):
-    assert q.pick(order, held, MEMBERS) == picked
+    assert q.choose_copies(order, held, MEMBERS) == picked
 
 
 async def no_room(records):
@@ -569,7 +576,7 @@
     [
         (
             "a higher term was promised",
-            lambda site: site.at["p1"].record_store.promised.update(s=9),
+            lambda site: site.at["p1"].record_store.promised_terms.update(s=9),
             "copy.stale_term",
             False,
         ),
@@ -614,7 +621,7 @@
         store.proofs.clear()
         change(site)
         await store.ping("s1", "p1")
-        assert leadership.fresh() is proven and store.counters.counts["ping.other_life"] == counted
+        assert leadership.is_confirmed() is proven and store.counters.counts["ping.other_life"] == counted
 
     run(go())
 
@@ -631,10 +638,10 @@
         joined.ready = False
         old.store.proofs.clear()
         await old.store.ping(joined.id, "p3")
-        assert not old.fresh() and not old.may_order()
+        assert not old.is_confirmed() and not old.may_order()
         await joined.record_store.prepare("s", 2)  # what it reads of the terms when it joins
         joined.ready = True
         await old.store.ping(joined.id, "p3")
-        assert not old.fresh() and not old.may_order()
+        assert not old.is_confirmed() and not old.may_order()
 
     run(go())
--- a/tests/jobs/test_record_store.py
+++ b/tests/jobs/test_record_store.py
@@ -43,7 +43,7 @@
 
 def told(record_store):
     """All that others may hear of, but for the times of orders."""
-    return record_store.told("m"), dict(record_store.promised), record_store.id
+    return record_store.describe_run("m"), dict(record_store.promised_terms), record_store.id
 
 
 async def settled(*tasks):
@@ -98,13 +98,13 @@
         for _ in range(2):
             with pytest.raises(LogError):
                 await record_store.prepare("m", 3)
-        assert record_store.promised == {} and not wal.raws
+        assert record_store.promised_terms == {} and not wal.raws
         wal.failing, wal.gate = False, asyncio.Event()
         tries = [asyncio.ensure_future(record_store.prepare("m", 3)) for _ in range(2)]
-        assert await settled(*tries) == [False, False] and record_store.promised == {}
+        assert await settled(*tries) == [False, False] and record_store.promised_terms == {}
         wal.gate.set()
         assert [out["ok"] for out in await asyncio.gather(*tries)] == [True, True] and len(wal.raws) == 1
-        assert store(wal, clock).promised == {"m": 3}
+        assert store(wal, clock).promised_terms == {"m": 3}
 
     run(go())
 
@@ -152,9 +152,9 @@
             assert await record_store.append([record]) == [True]
         kinds = ["S", "U"][2 - len(order) :]
         for one in (record_store, store(wal, clock)):
-            assert [head["k"] for head, _ in one.told("m")["windows"]] == kinds
+            assert [head["k"] for head, _ in one.describe_run("m")["windows"]] == kinds
         wal.raws = list(record_store.snapshot())
-        assert told(store(wal, clock))[0]["windows"] == record_store.told("m")["windows"]
+        assert told(store(wal, clock))[0]["windows"] == record_store.describe_run("m")["windows"]
 
     run(go())
 
@@ -208,7 +208,7 @@
             record_store = real(disk, clock)
             record_store.wal.snapshot = None  # nothing mends the log by itself
             disk.fails = lambda k, n: k == kind and n >= nth
-            for change in (record_store.take_id("one"), record_store.append([LOT]), record_store.start_over("two")):
+            for change in (record_store.take_id("one"), record_store.append([LOT]), record_store.reset("two")):
                 before = told(record_store)
                 try:
                     await change
@@ -232,7 +232,7 @@
         record_store = real(InMemoryDisk(), clock, limit_bytes=limit)
         assert await record_store.append([record("L", body=bytes(size)), RESULT, END]) == [taken, True, True]
         assert await record_store.append([record("L", body=bytes(size))]) == [taken]
-        assert record_store.admits("other", size) is (taken is True)
+        assert record_store.can_admit("other", size) is (taken is True)
         assert (await record_store.prepare("m", 4))["ok"]
         await record_store.wal.close()
 
--- a/tests/rollout_controller/test_leadership_term.py
+++ b/tests/rollout_controller/test_leadership_term.py
@@ -21,10 +21,10 @@
         self.gate = asyncio.Event()  # copies arrive while it is set
         self.gate.set()
 
-    def enough(self, record):
-        return self.store.quorum.enough(record.held, self.store.members())
+    def has_enough_copies(self, record):
+        return self.store.quorum.has_enough_copies(record.held, self.store.members())
 
-    async def put(self, run, term, records):
+    async def replicate(self, run, term, records):
         self.puts.append((term, records))
         await self.gate.wait()
         if self.deposed:
@@ -46,7 +46,7 @@
         )
         self.task_group = TaskGroup(self.log, self.counters)
         self.shelves = {n: RecordStore(MemBook(), clock, Counters()) for n in names}
-        self.record_store, self.quorum = self.shelves["me"], Quorum.of(BOOT)
+        self.record_store, self.quorum = self.shelves["me"], Quorum.from_settings(BOOT)
         self.replicator = FakeCopier(self)
         self.config_watcher, self.silent, self.proof = self, set(), True
 
@@ -106,8 +106,8 @@
         batch_job = leadership.batch_jobs["l"]
         assert (
             [r.head["item"] for r in batch_job.results] == items
-            and batch_job.listed == len(items)
-            and batch_job.done == set(items)
+            and batch_job.listed_count == len(items)
+            and batch_job.positioned_items == set(items)
         )
         again = [r.head["pos"] for _, records in store.replicator.puts for r in records if r.head["k"] == "R"]
         assert again == anew and all(t == 5 for t, _ in store.replicator.puts)
@@ -139,7 +139,7 @@
         await store.shelves["c"].prepare("s", 9)
         leadership = LeadershipTerm(store, "s", 5)
         await leadership.begin()
-        assert leadership.state == "over" and not leadership.fresh() and not leadership.may_order()
+        assert leadership.state == "over" and not leadership.is_confirmed() and not leadership.may_order()
 
     run(go())
 
@@ -178,12 +178,12 @@
 WAITERS = [  # who waits for copies; what must hold once they are there, though the waiter was cancelled
     (
         "the last results",
-        lambda r: [r.list_result(r.batch_jobs["l"], i, {}) for i in ("i1", "i2")],
-        lambda r: r.batch_jobs["l"].listed == 2,
+        lambda r: [r.append_result(r.batch_jobs["l"], i, {}) for i in ("i1", "i2")],
+        lambda r: r.batch_jobs["l"].listed_count == 2,
         ("lot", "l"),
     ),
-    ("an end", lambda r: [r.end("l")], lambda r: r.batch_jobs["l"].records[-1].held >= {"me", "b"}, ("lot", "l")),
-    ("a lot", lambda r: [r.put(HEAD, orjson.dumps(LOT))], lambda r: "new" in r.batch_jobs, "work"),
+    ("an end", lambda r: [r.end_job("l")], lambda r: r.batch_jobs["l"].records[-1].held >= {"me", "b"}, ("lot", "l")),
+    ("a lot", lambda r: [r.accept_job(HEAD, orjson.dumps(LOT))], lambda r: "new" in r.batch_jobs, "work"),
 ]
 
 
@@ -216,7 +216,7 @@
         while len(store.replicator.puts) < len(tasks):
             await asyncio.sleep(0)
         if how == "the reign is over":
-            leadership.over()
+            leadership.step_down()
         else:
             store.replicator.deposed = True
             store.replicator.gate.set()
@@ -229,7 +229,7 @@
 def test_the_same_lot_handed_in_twice_is_copied_once(run, clock):
     async def go():
         store, leadership = await holding(clock)
-        tasks = [asyncio.ensure_future(leadership.put(HEAD, orjson.dumps(LOT))) for _ in range(3)]
+        tasks = [asyncio.ensure_future(leadership.accept_job(HEAD, orjson.dumps(LOT))) for _ in range(3)]
         while not store.replicator.puts:
             await asyncio.sleep(0)
         tasks[0].cancel()
@@ -261,4 +261,4 @@
     leadership.takeover.heed_orders(
         [{"orders": {"i": age}, "noted": {"i": note} if note else {}, "tick": tick} for age, note, tick in told]
     )
-    assert leadership.order_from["i"] - clock.now() == pytest.approx(wait * BOOT.seconds("LeaseMs") / 3.0)
+    assert leadership.may_order_from["i"] - clock.now() == pytest.approx(wait * BOOT.seconds("LeaseMs") / 3.0)
--- a/tests/rollout_controller/test_load_limit.py
+++ b/tests/rollout_controller/test_load_limit.py
@@ -26,9 +26,9 @@
     ],
 )
 def test_places(busy, slots, replicas, places):
-    lull = LoadLimit()
-    lull.heed(busy)
-    assert lull.places("s", slots, replicas) == places
+    load_limit = LoadLimit()
+    load_limit.update(busy)
+    assert load_limit.usable_slots("s", slots, replicas) == places
 
 
 WORDS = [  # words as (edge, live, at), asked at, busy
@@ -87,9 +87,9 @@
             # live requests return: rollouts leave their places, and the answer does not wait for them
             assert (await w.ask("POST", "/v/live", b"now", rid="v1"))[0] == 200
             await w.until(store.state_board, "work", lambda: store.counters.counts["item.recalled"] >= 1)
-            await w.until(store.state_board, "work", lambda: store.engines.all[r.iid].busy() <= 3)
-            # the lull is back: they go on behind the events that were kept
-            await w.until(store.state_board, "work", lambda: store.engines.all[r.iid].busy() == 4)
+            await w.until(store.state_board, "work", lambda: store.engines.all[r.iid].running_count() <= 3)
+            # the pause of live requests is back: they go on behind the events that were kept
+            await w.until(store.state_board, "work", lambda: store.engines.all[r.iid].running_count() == 4)
             r.gate.set()
             rows = await w.read_all("lot1")
             assert len(rows) == len({x["InstanceId"] for x in rows}) == 4
@@ -110,7 +110,7 @@
             e = s.engines.all.get(r.iid)
             if (
                 e is not None
-                and e.busy() == n
+                and e.running_count() == n
                 and len(r.runs) == n
                 and all(
                     len(j.texts) == 2
--- a/tests/rollout_controller/test_weight_orders.py
+++ b/tests/rollout_controller/test_weight_orders.py
@@ -76,17 +76,17 @@
     def may_order(self, iid=None):
         return self.allowed
 
-    async def intend(self, iid):
+    async def record_order_intent(self, iid):
         self.noted.append(iid)
         return self.clock.now() + self.right_s
 
-    def over(self):
+    def step_down(self):
         self.state = "over"
 
 
 def setup(clock, replica, named=2, models=("m",), n=1):
     engines = Engines()
-    engines.fold(
+    engines.apply_entries(
         [
             {
                 "id": f"e{i}",
@@ -153,7 +153,7 @@
         began = asyncio.get_running_loop().time()
         clock.now = lambda: 100.0 + asyncio.get_running_loop().time() - began
         await settle(orders)
-        assert len(rep.orders) == sent and store.engines.all["e0"].revs["m"] == rev
+        assert len(rep.orders) == sent and store.engines.all["e0"].revisions["m"] == rev
         assert all(o["FenceToken"] == 7 and o["Owner"] == "n" for o in rep.orders)
         assert len(leadership.noted) == sent and [o.get("ExpectedCount") for o in rep.orders] == [None, 0][:sent]
 
@@ -185,7 +185,7 @@
         assert rep.orders[0].get("ExpectedCount") == count
         clock.at += age
         orders._fold_report(e, {"Sequence": seq, "Utilization": busy, "ModelList": []}, clock.now())
-        assert (e.unclear_at is None, e.count) == (clear, after)
+        assert (e.unresolved_order_at is None, e.count) == (clear, after)
 
     run(go())
 
@@ -224,7 +224,7 @@
         orders._start_one()
         await asyncio.gather(*store.tasks)
         assert rep.orders == [] and leadership.noted == ["e0"] and store.counters.counts["order.too_late"] == 1
-        assert store.engines.all["e0"].unclear_at is None and orders.out == 0
+        assert store.engines.all["e0"].unresolved_order_at is None and orders.out == 0
 
     run(go())
 
@@ -240,7 +240,7 @@
             leadership.right_s = 0.0  # thawed after its note: the right to order has run out
         orders._start_one()
         await asyncio.gather(*store.tasks)
-        assert rep.orders == [] and store.engines.all["e0"].held == set() and orders.out == 0
+        assert rep.orders == [] and store.engines.all["e0"].held_models == set() and orders.out == 0
 
     run(go())
 
@@ -260,7 +260,7 @@
     es = list(store.engines.all.values())
     got = 0
     while orders._wanted(leadership, "m", es, 2) and got < n:
-        es[got].proven("m", 2)
+        es[got].record_revision("m", 2)
         got += 1
     assert got == loaded
 
--- a/tests/share_group/test_last_result.py
+++ b/tests/share_group/test_last_result.py
@@ -25,33 +25,39 @@
     """Lists a result once its gate opens, as a reign does whose copies take their time."""
 
     def __init__(self, batch_job):
-        self.run, self.term, self.state, self.batch_jobs, self.window_recs = "s", 3, "holding", {"lot": batch_job}, []
+        self.run, self.term, self.state, self.batch_jobs, self.window_records = (
+            "s",
+            3,
+            "holding",
+            {"lot": batch_job},
+            [],
+        )
         self.gate, self.asked = asyncio.Event(), []
 
-    async def list_result(self, batch_job, iid, doc):
-        if iid in batch_job.done or batch_job.ended:
+    async def append_result(self, batch_job, iid, doc):
+        if iid in batch_job.positioned_items or batch_job.is_ended:
             return
-        batch_job.done.add(iid)
+        batch_job.positioned_items.add(iid)
         self.asked.append(iid)
         await self.gate.wait()
-        batch_job.listed += 1
+        batch_job.listed_count += 1
 
 
 def setup(clock):
-    items = {i: SimpleNamespace(iid=i, group="g", at=n) for n, i in enumerate("ab")}
+    items = {i: SimpleNamespace(item_id=i, group="g", at=n) for n, i in enumerate("ab")}
     batch_job = SimpleNamespace(
         job_id="lot",
         host="h",
         path="/x",
-        taken=0.0,
+        accepted_at=0.0,
         items=items,
-        done=set(),
+        positioned_items=set(),
         total=2,
-        want=0,
-        base=0,
+        desired_count=0,
+        base_offset=0,
         model="m",
-        ended=False,
-        listed=0,
+        is_ended=False,
+        listed_count=0,
     )
     leadership = FakeReign(batch_job)
     store = SimpleNamespace(
@@ -93,7 +99,7 @@
         while len(leadership.asked) < len(settled):
             await asyncio.sleep(0)
         if meanwhile == "ended":
-            batch_job.ended = True
+            batch_job.is_ended = True
         elif meanwhile == "lock":
             for e in win.locked.values():
                 e.locked_until = 0.0
@@ -103,7 +109,7 @@
             lead.sync()
         leadership.gate.set()
         assert (await call)["done"] == [True] * len(settled)
-        assert batch_job.listed == len(settled) and batch_job.done == set(settled)
+        assert batch_job.listed_count == len(settled) and batch_job.positioned_items == set(settled)
         # nothing of what is settled is presented again; what is not settled is, unless its lot ended
         states = {o: e.state for o, e in win.entries.items()}
         rest = [] if settled == "ab" or meanwhile == "ended" else [1]
--- a/tests/share_group/test_recalls.py
+++ b/tests/share_group/test_recalls.py
@@ -15,9 +15,9 @@
     """A leader of one run, with an item of one lot at a replica that it should leave, and a free place elsewhere."""
     batch_job = SimpleNamespace(job_id="lot1", host="h.example", path="/roll/x")
     window = SharePartition("m", 1, lock_s=30.0, max_locks=200)
-    entry = window.append(batch_job, SimpleNamespace(iid="0-0", group="0"), 0)
+    entry = window.append(batch_job, SimpleNamespace(item_id="0-0", group="0"), 0)
     window.acquire(entry, "w1", 0.0)
-    entry.engine = SimpleNamespace(iid="i-1", zone="z1")
+    entry.engine = SimpleNamespace(instance_id="i-1", zone="z1")
     run = SimpleNamespace(
         leadership=SimpleNamespace(run="llm", batch_jobs={"lot1": batch_job}),
         queues={"lot1": JobQueue(0)},
--- a/tests/share_group/test_run_times.py
+++ b/tests/share_group/test_run_times.py
@@ -33,7 +33,7 @@
 
 def leader(took, waiting, full, age):
     clock, engines = HandClock(), Engines()
-    engines.fold(
+    engines.apply_entries(
         [
             {
                 "id": f"e{n}",
@@ -47,11 +47,13 @@
             for n in range(full)
         ]
     )
-    for engine in engines.of("s"):
-        engine.running["m"] = 2
+    for engine in engines.of_service("s"):
+        engine.running_items["m"] = 2
     plan = RoutingTable({"Revision": 1, "RouteTable": [ROW], "ServiceTable": [{"Name": "s"}]})
     store = SimpleNamespace(clock=clock, engines=engines, plan=plan, state_board=StateBoard(), quiet_s=1.0)
-    batch_job = SimpleNamespace(model="m", ended=False, least=2, taken=clock.now() - age, host="h", path="/l/x")
+    batch_job = SimpleNamespace(
+        model="m", is_ended=False, min_revision=2, accepted_at=clock.now() - age, host="h", path="/l/x"
+    )
     leadership = SimpleNamespace(run="s", batch_jobs={"lot": batch_job})
     it = PartitionLeader(store)
     run = it.runs["s"] = LedPartitions(leadership, clock.now())
@@ -66,7 +68,7 @@
     it, leadership = leader(took, waiting, full, age)
     assert it.lacks_replicas(leadership, "m") is short
     if full:
-        it.store.engines.all["e0"].running["m"] = 1  # a place is free
+        it.store.engines.all["e0"].running_items["m"] = 1  # a place is free
         assert it.lacks_replicas(leadership, "m") is False
 
 
--- a/tests/share_group/test_share_group.py
+++ b/tests/share_group/test_share_group.py
@@ -143,7 +143,7 @@
                 await never.wait()
 
             for leadership in lead.leaderships.values():
-                leadership.list_result = hang  # settlements arrive, and are never committed
+                leadership.append_result = hang  # settlements arrive, and are never committed
             go_on(w)
             await w.until(
                 w.edge.state_board,
@@ -305,7 +305,9 @@
             assert (await w.ask("DELETE", "/api/lots/lot1"))[0] == 200
             await w.until(w.edge.state_board, "nothing", lambda: running(w) == 0)
             lead = holder(w)
-            await w.until(lead.state_board, "work", lambda: all(e.busy() == 0 for e in lead.engines.all.values()))
+            await w.until(
+                lead.state_board, "work", lambda: all(e.running_count() == 0 for e in lead.engines.all.values())
+            )
             assert all(
                 not win.locked and win.start_offset == win.next_offset
                 for win in lead.leader.runs["llm"].windows.values()
--- a/tests/store/test_lease.py
+++ b/tests/store/test_lease.py
@@ -98,7 +98,7 @@
             return None
         leadership = self.leaderships.get(doc["run"])
         if out["ok"] and leadership is not None and leadership.term < doc["term"]:
-            leadership.over()
+            leadership.step_down()
         return out
 
     def card(self):
@@ -173,18 +173,18 @@
 
     async def serves(self, node, job_id="new"):
         """Whether a holder takes a lot with its copies."""
-        await node.leaderships["s"].put({"lot": job_id, "host": "h", "path": "/p/"}, orjson.dumps(LOT))
+        await node.leaderships["s"].accept_job({"lot": job_id, "host": "h", "path": "/p/"}, orjson.dumps(LOT))
         return len(super().holders(job_id)) >= self.f + 1
 
 
 def end_of_its_own(site, node):
-    node.leaderships["s"].over()
+    node.leaderships["s"].step_down()
 
 
 def no_renewal(site, node):
     """Its watch stands still, and its term ended."""
     node.lease_watch.look = lambda: None
-    node.leaderships["s"].over()
+    node.leaderships["s"].step_down()
 
 
 def reading_without_end(site, node):
@@ -269,7 +269,7 @@
         old, _ = await site.until_held()
         old.record_store.wal.gate.clear()
         put = asyncio.ensure_future(
-            old.leaderships["s"].put({"lot": "l", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
+            old.leaderships["s"].accept_job({"lot": "l", "host": "h", "path": "/p/"}, orjson.dumps(LOT))
         )
         new, took = await site.until_held(but=old, within_s=1.0)
         assert new is not old and not old.disk.takes and took < 0.8
@@ -318,7 +318,7 @@
         for _ in range(50):
             leadership = old.leaderships["s"]
             if leadership.term == site.lease()["term"]:
-                leadership.over()
+                leadership.step_down()
             await site.look()
             terms.append(site.lease()["term"])
         assert 2 <= terms[-1] - terms[0] <= 5 and site.lease()["holder"] != old.id
@@ -336,7 +336,7 @@
         departure = Departure(leaver)
         await site.look()
         assert departure.needed_for() == {"s"}
-        await lead.leaderships["s"].mend()
+        await lead.leaderships["s"].repair()
         await site.look()
         rest = [p for p in Site.holders(site, "l") if p != leaver.place]
         assert departure.needed_for() == set() and len(rest) == 2
@@ -401,7 +401,7 @@
         new, _ = await site.until_held(but=first)
         out = await first.run_command("plan", "store.clear", {"id": first.id, "run": "s", "term": dead})
         assert out[0] == 2018 and first.id in site.value["stores"]
-        await new.leaderships["s"].mend()
+        await new.leaderships["s"].repair()
         assert first.id not in site.value["stores"] and new.place in Site.holders(site, "l")
         assert site.value["retired"] == {first.place: "complete"}
 
@@ -418,7 +418,7 @@
     ],
 )
 def test_when_not_taken_may_not_be_said(clock, why, job_id, state, taken):
-    leadership = SimpleNamespace(state=state, offered={"offered"}, batch_jobs={})
+    leadership = SimpleNamespace(state=state, offered_jobs={"offered"}, batch_jobs={})
     store = SimpleNamespace(record_store=SimpleNamespace(batch_jobs={"kept": {}}), leaderships={"s": leadership})
     assert may_be_taken(store, "s", job_id) is taken
 
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -320,10 +320,10 @@
             await w.read_all("lot1")
             old = holder(w)
             leadership = next(iter(old.leaderships.values()))
-            assert leadership.fresh() and leadership.may_order()
+            assert leadership.is_confirmed() and leadership.may_order()
             now = old.clock.now
             old.clock.now = lambda: now() + 30  # it wakes 30 s later, before it heard anybody
-            assert not leadership.fresh() and not leadership.may_order()
+            assert not leadership.is_confirmed() and not leadership.may_order()
         finally:
             await w.end()
 
@@ -372,13 +372,15 @@
             def taken_over():
                 new = next((r for s in rest for r in s.leaderships.values() if r.state == "holding"), None)
                 if new is not None:
-                    assert new.term > leadership.term and not leadership.fresh()
+                    assert new.term > leadership.term and not leadership.is_confirmed()
                 return new
 
             await w.until(rest[0].state_board, "work", taken_over)
             head = {"lot": "lot9", "run": leadership.run, "host": "h.example", "path": "/roll/x"}
-            put = asyncio.ensure_future(leadership.put(head, orjson.dumps(batch_job(name="z"))))
-            note = asyncio.ensure_future(leadership.intend(w.replicas[0].iid))  # without which it sends no order
+            put = asyncio.ensure_future(leadership.accept_job(head, orjson.dumps(batch_job(name="z"))))
+            note = asyncio.ensure_future(
+                leadership.record_order_intent(w.replicas[0].iid)
+            )  # without which it sends no order
             assert await w.hand_in("lot2", batch_job(name="b")) == 202
             assert await w.read_all("lot1") == rows
             assert len(await w.read_all("lot2")) == 4
--- a/tests/upstream/test_subset.py
+++ b/tests/upstream/test_subset.py
@@ -217,15 +217,19 @@
 @pytest.mark.parametrize("pop", [False, True])
 def test_engines_of_a_service_follow_the_changes(pop):
     es = Engines()
-    es.fold(ents(6, service="s") + [{**e, "id": "x" + e["id"], "addr": "x" + e["addr"]} for e in ents(2, service="t")])
-    assert [len(es.of(s)) for s in ("s", "t", "u")] == [6, 2, 0]
+    es.apply_entries(
+        ents(6, service="s") + [{**e, "id": "x" + e["id"], "addr": "x" + e["addr"]} for e in ents(2, service="t")]
+    )
+    assert [len(es.of_service(s)) for s in ("s", "t", "u")] == [6, 2, 0]
     if pop:
         es.all.pop("i0")  # as the dispatcher does with a life that ended
     else:
-        es.fold([{**ents(1)[0], "state": "gone"}])
-    assert [e.iid for e in es.of("s")] == [f"i{n}" for n in range(1, 6)]
-    es.fold([{**ents(1)[0], "id": "new", "addr": "a1:1"}])
-    assert [e.iid for e in es.of("s")] == [f"i{n}" for n in range(2, 6)] + ["new"] and "i1" not in es.all
+        es.apply_entries([{**ents(1)[0], "state": "gone"}])
+    assert [e.instance_id for e in es.of_service("s")] == [f"i{n}" for n in range(1, 6)]
+    es.apply_entries([{**ents(1)[0], "id": "new", "addr": "a1:1"}])
+    assert [e.instance_id for e in es.of_service("s")] == [f"i{n}" for n in range(2, 6)] + [
+        "new"
+    ] and "i1" not in es.all
 
 
 def settings(n):
