--- a/archhatch/jobs/record_state.py
+++ b/archhatch/jobs/record_state.py
@@ -1,196 +1,237 @@
-"""What a store knows to be on its disk: records by lot, windows, orders, and the terms that it promised to runs."""
+"""What a store knows to be on its disk: records by job, windows, orders, and the terms that it promised to runs."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
+from dataclasses import dataclass, field
 
-from .record import Kind, Record, pack, unpack
+from ..runtime import Clock
+from .record import Kind, Record, identity_head, order_head, pack, promise_head, unpack
+from .run_report import HeldJob, RunReport
 
-OVERHEAD = 200  # bytes reckoned for a record besides its body
+RECORD_OVERHEAD = 200  # bytes reckoned for a record besides its body
+
+
+@dataclass(slots=True)
+class StoredJob:
+    """What is here of one job.
+
+    Attributes:
+        run: The run that it belongs to.
+        stored_at: When its first record came, by this store's clock.
+        job: The record of the job itself.
+        end: The record of its end.
+        results: The records of its results by position.
+        size_bytes: What its records come to.
+    """
+
+    run: str
+    stored_at: float
+    job: Record | None = None
+    end: Record | None = None
+    results: dict[int, Record] = field(default_factory=dict)
+    size_bytes: int = 0
+
+    def records(self) -> list[Record]:
+        """Returns all its records: the job, its end, its results."""
+        return [record for record in (self.job, self.end, *self.results.values()) if record is not None]
+
+    def put(self, record: Record) -> None:
+        """Puts a record in its place, instead of one that it supersedes."""
+        if record.kind == Kind.RESULT:
+            former = self.results.get(record.head["pos"])
+            if former is not None:
+                self.size_bytes -= len(former.body) + RECORD_OVERHEAD
+            self.results[record.head["pos"]] = record
+        elif record.kind == Kind.JOB:
+            self.job = record
+        else:
+            self.end = record
+        self.size_bytes += len(record.body) + RECORD_OVERHEAD
 
 
 class RecordState:
     """Acknowledged state only: nothing gets here before its sync has returned.
 
-    >>> # state.load(raws); state.standing(record); state.apply(record); raws = state.snapshot()
+    Attributes:
+        id: The id of this store; empty before it has one.
+        promised_terms: The highest term promised to a run's holder, by run.
+        batch_jobs: What is here of each job, by id.
+        windows: The newest snapshot of each window and the deltas behind it, by (run, partition).
+        early_updates: Deltas whose snapshot is not here, by (run, partition).
+        newest_times: The newest (term, seconds of that term) that a record bears, by run.
+        order_times: By run and replica, the (term, seconds of it) of the last intent to order.
+        order_intents: By run and replica, when the last intent to order was synced here.
+
+    >>> # state.load(raws); state.supersedes(record); state.apply(record); raws = state.snapshot()
     """
 
-    def __init__(self, clock):
+    def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self._clear()
 
     def _clear(self) -> None:
         self.id = ""
         self.promised_terms: dict[str, int] = {}
-        self.batch_jobs: dict[str, dict] = {}
-        self.windows: dict[tuple, list] = {}  # (run, partition) -> its newest snapshot and the deltas behind it
-        self.strays: dict[tuple, list] = {}  # (run, partition) -> deltas whose snapshot is not here
-        self.ticks: dict[str, tuple] = {}  # run -> the newest (term, seconds of that term) that a record bears
-        self.noted: dict[str, dict] = {}  # run -> replica -> (term, seconds of it) of its last intent to order
-        self.order_intents: dict[str, dict] = {}  # run -> replica -> when the last intent to order was synced here
+        self.batch_jobs: dict[str, StoredJob] = {}
+        self.windows: dict[tuple, list[Record]] = {}
+        self.early_updates: dict[tuple, list[Record]] = {}
+        self.newest_times: dict[str, tuple] = {}
+        self.order_times: dict[str, dict] = {}
+        self.order_intents: dict[str, dict] = {}
 
     def load(self, raws: Iterable[bytes]) -> None:
-        """Take up the records of a log."""
+        """Takes up the records of a log."""
         for raw in raws:
             record = unpack(raw)
-            kind = record.head["k"]
-            if kind == Kind.IDENTITY:
+            if record.kind == Kind.IDENTITY:
                 self.id = record.head["id"]
                 continue
             if "term" in record.head:
                 self._promise(record.head["run"], record.head["term"])
-            if kind != Kind.PROMISE:
-                self._tick(record.head)
-                if not self.standing(record):
+            if record.kind != Kind.PROMISE:
+                self._note_time(record.head)
+                if not self.supersedes(record):
                     self.apply(record)
 
     def _promise(self, run: str, term: int) -> None:
         self.promised_terms[run] = max(term, self.promised_terms.get(run, 0))
 
-    def _tick(self, head: dict) -> None:
+    def _note_time(self, head: dict) -> None:
         if "t" in head:
-            self.ticks[head["run"]] = max(self.ticks.get(head["run"], (0, 0.0)), (head["term"], head["t"]))
+            known = self.newest_times.get(head["run"], (0, 0.0))
+            self.newest_times[head["run"]] = max(known, (head["term"], head["t"]))
 
     # -- records
 
-    def standing(self, record: Record) -> bool:
-        """Whether this record, or one as good, is here."""
-        kind, head = record.head["k"], record.head
+    def supersedes(self, record: Record) -> bool:
+        """Returns whether this record, or one as good, is here."""
+        head = record.head
+        kind = head["k"]
         if kind == Kind.SNAPSHOT:
-            have = self.windows.get((head["run"], head["part"]))
-            return bool(have) and have[0].epoch() >= record.epoch()
+            window = self.windows.get((head["run"], head["part"]))
+            return window[0].epoch() >= record.epoch() if window else False
         if kind == Kind.UPDATE:
-            return self._update_stands(record)
-        entry = self.batch_jobs.get(head["lot"])
-        if entry is None or kind == Kind.ORDER:
+            return self._supersedes_update(record)
+        stored = self.batch_jobs.get(head["lot"])
+        if stored is None or kind == Kind.ORDER:
             return False
         if kind == Kind.RESULT:
-            old = entry["results"].get(head["pos"])
-            return old is not None and old.rank() >= record.rank()
-        return entry["lot" if kind == Kind.LOT else "end"] is not None
+            result = stored.results.get(head["pos"])
+            return result is not None and result.rank() >= record.rank()
+        return (stored.job if kind == Kind.JOB else stored.end) is not None
 
-    def _update_stands(self, record: Record) -> bool:
+    def _supersedes_update(self, record: Record) -> bool:
         """A delta is superseded by a newer snapshot, and held behind its own one, or until that comes."""
-        place = record.head["run"], record.head["part"]
-        have = self.windows.get(place, [])
-        if have and have[0].epoch() > record.epoch():
+        key = record.head["run"], record.head["part"]
+        window = self.windows.get(key, [])
+        if window and window[0].epoch() > record.epoch():
             return True
-        return any(other.place() == record.place() for other in have[1:] + self.strays.get(place, []))
+        return any(other.place() == record.place() for other in window[1:] + self.early_updates.get(key, []))
 
     def apply(self, record: Record) -> None:
-        """Put a record that is on the disk, and does not stand yet, in its place."""
-        kind, head = record.head["k"], record.head
-        self._tick(head)
+        """Puts a record that is on the disk, and not superseded, in its place."""
+        head = record.head
+        kind = head["k"]
+        self._note_time(head)
         if kind == Kind.ORDER:
             self.order_intents.setdefault(head["run"], {})[head["iid"]] = self.clock.now()
             if "t" in head:
-                self.noted.setdefault(head["run"], {})[head["iid"]] = (head["term"], head["t"])
+                self.order_times.setdefault(head["run"], {})[head["iid"]] = (head["term"], head["t"])
         elif kind == Kind.SNAPSHOT:
             self._apply_snapshot(record)
         elif kind == Kind.UPDATE:
-            place = head["run"], head["part"]
-            have = self.windows.get(place)
-            ours = have and have[0].epoch() == record.epoch()
-            (have if ours else self.strays.setdefault(place, [])).append(record)
+            self._apply_update(record)
         else:
-            self._apply_to_lot(record)
+            stored = self.batch_jobs.get(head["lot"])
+            if stored is None:
+                stored = self.batch_jobs[head["lot"]] = StoredJob(head["run"], self.clock.now())
+            stored.put(record)
 
     def _apply_snapshot(self, record: Record) -> None:
         """A newer snapshot deletes what lay before it; deltas that came ahead of it take their place behind it."""
-        place = record.head["run"], record.head["part"]
-        strays = self.strays.pop(place, [])
-        self.windows[place] = [record, *(s for s in strays if s.epoch() == record.epoch())]
-        later = [s for s in strays if s.epoch() > record.epoch()]
+        key = record.head["run"], record.head["part"]
+        early = self.early_updates.pop(key, [])
+        self.windows[key] = [record, *(update for update in early if update.epoch() == record.epoch())]
+        later = [update for update in early if update.epoch() > record.epoch()]
         if later:
-            self.strays[place] = later
-
-    def _apply_to_lot(self, record: Record) -> None:
-        kind, head = record.head["k"], record.head
-        entry = self.batch_jobs.get(head["lot"])
-        if entry is None:
-            entry = self.batch_jobs[head["lot"]] = {
-                "run": head["run"],
-                "lot": None,
-                "results": {},
-                "end": None,
-                "at": self.clock.now(),
-                "bytes": 0,
-            }
-        if kind == Kind.RESULT:
-            old = entry["results"].get(head["pos"])
-            entry["bytes"] -= 0 if old is None else len(old.body) + OVERHEAD
-            entry["results"][head["pos"]] = record
+            self.early_updates[key] = later
+
+    def _apply_update(self, record: Record) -> None:
+        key = record.head["run"], record.head["part"]
+        window = self.windows.get(key)
+        if window and window[0].epoch() == record.epoch():
+            window.append(record)
         else:
-            entry["lot" if kind == Kind.LOT else "end"] = record
-        entry["bytes"] += len(record.body) + OVERHEAD
+            self.early_updates.setdefault(key, []).append(record)
 
     # -- what others ask for
 
     def describe_run(self, run: str) -> dict:
-        """What is here of a run, for its new holder."""
-        batch_jobs = {}
-        for job_id, entry in self.batch_jobs.items():
-            if entry["run"] == run:
-                results = [[pos, r.head["term"], r.head["item"]] for pos, r in entry["results"].items()]
-                batch_jobs[job_id] = {
-                    "lot": entry["lot"] is not None,
-                    "end": entry["end"] is not None,
-                    "results": results,
-                }
-        now, last = self.clock.now(), self.order_intents.get(run, {})
-        windows = [[r.head, r.body.decode()] for r in self._window_records(run)]
-        return {
-            "lots": batch_jobs,
-            "windows": windows,
-            "orders": {iid: now - at for iid, at in last.items()},
-            "noted": {iid: at for iid, at in self.noted.get(run, {}).items() if iid in last},
-            "tick": self.ticks.get(run),
-        }
+        """Returns what is here of a run, for its new holder: the document of a RunReport."""
+        now = self.clock.now()
+        intents = self.order_intents.get(run, {})
+        times = self.order_times.get(run, {})
+        return RunReport(
+            jobs={job_id: _held(stored) for job_id, stored in self.batch_jobs.items() if stored.run == run},
+            windows=[[record.head, record.body.decode()] for record in self._window_records(run)],
+            order_ages_s={instance_id: now - synced_at for instance_id, synced_at in intents.items()},
+            order_times={instance_id: time for instance_id, time in times.items() if instance_id in intents},
+            newest_time=self.newest_times.get(run),
+        ).to_document()
 
     def _window_records(self, run: str | None = None) -> list[Record]:
         return [
             record
-            for kept in (self.windows, self.strays)
+            for kept in (self.windows, self.early_updates)
             for (of, _), records in kept.items()
             if run is None or of == run
             for record in records
         ]
 
-    def fetch(self, job_id: str, poss: list, batch_job: bool) -> list[Record]:
-        """Records of a lot that are here."""
-        entry = self.batch_jobs.get(job_id)
-        if entry is None:
+    def fetch(self, job_id: str, positions: list[int], wants_job: bool) -> list[Record]:
+        """Returns records of a job that are here: the job if it is wanted, its end, and these results."""
+        stored = self.batch_jobs.get(job_id)
+        if stored is None:
             return []
-        out = [entry["lot"]] if batch_job and entry["lot"] is not None else []
-        if entry["end"] is not None:
-            out.append(entry["end"])
-        return out + [entry["results"][pos] for pos in poss if pos in entry["results"]]
+        records = [stored.job] if wants_job and stored.job is not None else []
+        if stored.end is not None:
+            records.append(stored.end)
+        return records + [stored.results[position] for position in positions if position in stored.results]
 
     # -- what is kept
 
-    def forget(self, lids, order_s: float) -> None:
-        """Drop lots that nobody may ask for any more, and intents to order that are older than order_s."""
+    def forget(self, job_ids: Iterable[str], order_s: float) -> None:
+        """Drops jobs that nobody may ask for any more, and intents to order that are older than order_s."""
         now = self.clock.now()
-        for run, last in self.order_intents.items():
-            self.order_intents[run] = {iid: at for iid, at in last.items() if now - at <= order_s}
-            self.noted[run] = {iid: at for iid, at in self.noted.get(run, {}).items() if iid in self.order_intents[run]}
-        for job_id in lids:
+        for run, intents in self.order_intents.items():
+            kept = {instance_id: synced_at for instance_id, synced_at in intents.items() if now - synced_at <= order_s}
+            times = self.order_times.get(run, {})
+            self.order_intents[run] = kept
+            self.order_times[run] = {instance_id: time for instance_id, time in times.items() if instance_id in kept}
+        for job_id in job_ids:
             self.batch_jobs.pop(job_id, None)
 
     def snapshot(self) -> Iterator[bytes]:
-        """All that is kept, for a rewritten log. Gathered now; packed as it is taken, also in another thread."""
-        heads = [{"k": Kind.IDENTITY, "id": self.id}]
-        heads += [{"k": Kind.PROMISE, "run": run, "term": term} for run, term in self.promised_terms.items()]
-        for run, last in self.order_intents.items():
-            noted = self.noted.get(run, {})
-            for iid in last:
-                at = dict(zip(("term", "t"), noted[iid], strict=True)) if iid in noted else {}
-                heads.append({"k": Kind.ORDER, "lot": "", "run": run, "iid": iid, **at})
+        """Returns all that is kept, for a rewritten log.
+
+        It is gathered now, and packed as it is taken, also in another thread.
+        """
+        heads = [identity_head(self.id)]
+        heads += [promise_head(run, term) for run, term in self.promised_terms.items()]
+        for run, intents in self.order_intents.items():
+            times = self.order_times.get(run, {})
+            heads += [order_head(run, instance_id, times.get(instance_id)) for instance_id in intents]
         records = [Record(head) for head in heads] + self._window_records()
-        for entry in self.batch_jobs.values():
-            records += [r for r in (entry["lot"], entry["end"], *entry["results"].values()) if r is not None]
+        for stored in self.batch_jobs.values():
+            records += stored.records()
         return (pack(record) for record in records)
 
     def size(self) -> int:
-        """Bytes that the lots' records come to."""
-        return sum(entry["bytes"] for entry in self.batch_jobs.values())
+        """Returns the bytes that the jobs' records come to."""
+        return sum(stored.size_bytes for stored in self.batch_jobs.values())
+
+
+def _held(stored: StoredJob) -> HeldJob:
+    results = [[position, record.head["term"], record.head["item"]] for position, record in stored.results.items()]
+    return HeldJob(stored.job is not None, stored.end is not None, results)
--- a/archhatch/jobs/record_store.py
+++ b/archhatch/jobs/record_store.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from ..wal import LogError
-from .record import Kind, Record, pack
+from .record import Kind, Record, identity_head, pack, promise_head
 from .record_state import RecordState
 
 RESERVE = 1 / 8  # of the disk: kept free of new lots, for promises, results and ends
@@ -56,12 +56,12 @@
 
     async def take_id(self, new: str) -> None:
         """Be known by this id, once it is on the disk."""
-        await self.wal.append(pack(Record({"k": Kind.IDENTITY, "id": new})))
+        await self.wal.append(pack(Record(identity_head(new))))
         self.id = new
 
     async def reset(self, new: str) -> None:
         """Be empty under another id, once the disk is; until then, and after a LogError, all is as before."""
-        await self.wal.rewrite(lambda: [pack(Record({"k": Kind.IDENTITY, "id": new}))])
+        await self.wal.rewrite(lambda: [pack(Record(identity_head(new)))])
         self._clear()
         self.id = new
 
@@ -70,7 +70,7 @@
     async def prepare(self, run: str, term: int) -> dict:
         """Promise a run's new holder to take nothing from older ones; tells what is here of the run."""
         if term > self.promised_terms.get(run, 0):
-            await self._keep(_Entry(term, Record({"k": Kind.PROMISE, "run": run, "term": term})))
+            await self._keep(_Entry(term, Record(promise_head(run, term))))
         if term < self.promised_terms.get(run, 0):
             self.counters.add("shelf.prepare_refused")
             return {"ok": False, "promised": self.promised_terms[run]}
@@ -106,7 +106,7 @@
     def _sort(self, entry: _Entry, verdicts: dict, fresh: list, writes: dict) -> None:
         """Say at once what becomes of a record, have it written, or wait for the write that carries it already."""
         promised = self.promised_terms.get(entry.record.head["run"], 0)
-        standing = self.standing(entry.record)
+        standing = self.supersedes(entry.record)
         coming = None if standing else self._on_its_way(entry.record)
         if entry.by < promised:
             self.counters.add("shelf.stale_term")
@@ -115,7 +115,7 @@
             verdicts[entry] = True
         elif coming:
             writes[coming.write] = True
-        elif entry.record.head["k"] == Kind.LOT and not standing and not self.has_room(len(entry.record.body)):
+        elif entry.record.head["k"] == Kind.JOB and not standing and not self.has_room(len(entry.record.body)):
             self.counters.add("shelf.no_room")
             verdicts[entry] = None
         else:
@@ -146,8 +146,8 @@
             run = entry.record.head["run"]
             if entry.by > max(self.promised_terms.get(run, 0), terms.get(run, 0)):
                 terms[run] = entry.by
-                raws.append(pack(Record({"k": Kind.PROMISE, "run": run, "term": entry.by})))
-            if entry.record.head["k"] != Kind.PROMISE and not self.standing(entry.record):
+                raws.append(pack(Record(promise_head(run, entry.by))))
+            if entry.record.head["k"] != Kind.PROMISE and not self.supersedes(entry.record):
                 raws.append(pack(entry.record))
         try:
             await self.wal.append(*raws)
@@ -169,7 +169,7 @@
             self.counters.add("shelf.overtaken")
             return False
         self._promise(run, entry.by)
-        if entry.record.head["k"] != Kind.PROMISE and not self.standing(entry.record):
+        if entry.record.head["k"] != Kind.PROMISE and not self.supersedes(entry.record):
             self.apply(entry.record)
         return True
 
@@ -177,7 +177,7 @@
 
     def can_admit(self, job_id: str, size: int) -> bool:
         """Whether a lot may be taken: it is here or on its way, or there is room for it."""
-        return job_id in self.batch_jobs or (Kind.LOT, job_id) in self._coming or self.has_room(size)
+        return job_id in self.batch_jobs or (Kind.JOB, job_id) in self._coming or self.has_room(size)
 
     def has_room(self, more: int) -> bool:
         """Whether a lot of so many bytes leaves the reserve, and room for a rewrite of all that is kept."""
--- a/archhatch/jobs/replicator.py
+++ b/archhatch/jobs/replicator.py
@@ -56,9 +56,9 @@
         """Whether a record's copies on stores that stay are enough."""
         return self.quorum.has_enough_copies(record.held, active_members(self.members()))
 
-    def targets(self, job_id: str, held, avoid=(), silent: bool = True, first=frozenset()) -> list:
+    def targets(self, job_id: str, held, avoid=(), allow_unreachable: bool = True, first=frozenset()) -> list:
         """The stores that should have a lot's record besides those that hold it: this one, then by rendezvous of the
-        lot's id those in touch, those that were late with an answer, and if these are not enough also silent ones;
+        lot's id those in touch, those that were late with an answer, and if these are not enough also unreachable ones;
         none whose disk takes nothing. Of each kind those in `first` come before the others."""
         members = active_members(self.members())
         order = [self.me] + rank(job_id, [s for s in members if s != self.me])
@@ -69,7 +69,7 @@
         for sid in order:
             tiers[2 if not self.alive(sid) else 1 if self._late.get(sid, now) > now else 0].append(sid)
         out: list = []
-        for tier in tiers if silent else tiers[:2]:
+        for tier in tiers if allow_unreachable else tiers[:2]:
             out += self.quorum.choose_copies(tier, {*held, *out}, members)
         return out
 
--- a/archhatch/rollout_controller/leadership_term.py
+++ b/archhatch/rollout_controller/leadership_term.py
@@ -1,58 +1,98 @@
-"""One store's hold on the runs of one service: their lots, what is listed of them, and the proof that nobody else
-holds them. Runs that share replicas share a holder: a replica must never see orders of two."""
+"""One store's hold on the runs of one service.
+
+It has their jobs, what is listed of them, and the proof that nobody else holds them. Runs that share replicas share a
+holder: a replica must never see orders of two.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import base64
+from collections.abc import Callable
+from enum import StrEnum
 
 from transitions import Machine
 
-from ..jobs import DeposedError, BatchJob, Record, read_job
-from ..jobs.record import unpack_many
+from ..jobs import BatchJob, DeposedError, Record, read_job
+from ..jobs.record import Kind, end_head, job_head, order_head, result_head
 from ..runtime import encode_kept
-from ..rpc import CallError
 from ..store.heartbeat import Leading
-from .repair import RecordRepair, place
-from .takeover import ORDER, Takeover
+from .host import LeadershipHost
+from .record_copier import RecordCopier
+from .repair import RecordRepair
+from .takeover import ORDER_VALIDITY, Takeover
+
+CONFIRMED_TO_READ = 0.5  # of SettleMs: how old the stores' confirmations may be for an answer to a reader
+CONFIRMED_TO_ORDER = 1 / 3  # of LeaseMs: how old they may be for an order of weights
+
+
+class TermState(StrEnum):
+    """Where a leadership term stands."""
 
-MOVES = [
+    READING = "reading"  # it reads what the stores hold of the run
+    HOLDING = "holding"  # it serves
+    OVER = "over"
+
+
+TRANSITIONS = [
     {"trigger": "gathered", "source": "reading", "dest": "holding"},
     {"trigger": "deposed", "source": "*", "dest": "over"},
 ]
 
 
 class LeadershipTerm:
-    """Begins by reading what so many stores hold of the run that no acknowledged record can be missed, then serves it
-    until another's term is higher.
-
-    >>> # leadership = LeadershipTerm(store, "service", term); await leadership.begin()
+    """Leads a run until another's term is higher.
+
+    It begins by reading what so many stores hold of the run that no acknowledged record can be missed.
+
+    Attributes:
+        state: The word of a TermState.
+        batch_jobs: The jobs that it serves, by id.
+        pending_jobs: Ended jobs that are still to be taken up: job id -> store id -> what that store holds.
+        offered_jobs: Jobs that were handed in under this term, whatever became of them.
+        may_order_from: The time from which a replica may have orders of this holder; at once if it is not listed.
+        next_offsets: The offset of the next entry by partition of the step log; a partition is named by its model.
+        window_records: What the stores hold of the partitions' windows, as [head, body].
+        began_at: When it began.
+        ended_at: When it ended; infinite before.
+
+    >>> # leadership = LeadershipTerm(host, "service", term); await leadership.begin()
     """
 
-    def __init__(self, store, run: str, term: int):
-        self.store, self.run, self.term = store, run, term
+    state: str
+    trigger: Callable[[str], bool]  # of the state machine
+
+    def __init__(self, host: LeadershipHost, run: str, term: int) -> None:
+        self.host = host
+        self.run = run
+        self.term = term
         self.batch_jobs: dict[str, BatchJob] = {}
-        self.may_order_from: dict[str, float] = {}  # replica -> when it may have orders of this holder
-        self.began_at = store.clock.now()
-        self.window_records: list = []  # what the stores told of the partitions' windows
-        self.next_offsets: dict[str, int] = {}  # partition of the step log -> the offset of its next entry
-        Machine(
-            self, states=["reading", "holding", "over"], initial="reading", transitions=MOVES, auto_transitions=False
-        )
-        self.pending_jobs: dict[
-            str, dict
-        ] = {}  # ended lots that are still to be taken up -> what the stores said of them
-        self._copying: dict[tuple, asyncio.Task] = {}  # what is being copied, by the place of its first record
-        self.offered_jobs: set = set()  # lots that were handed in under this term, whatever became of them
-        self._progress_at = self.began_at
+        self.pending_jobs: dict[str, dict] = {}
+        self.offered_jobs: set[str] = set()
+        self.may_order_from: dict[str, float] = {}
+        self.next_offsets: dict[str, int] = {}
+        self.window_records: list = []
+        self.began_at = host.clock.now()
         self.ended_at = float("inf")
-        self.takeover, self.record_repair = Takeover(self), RecordRepair(self)
+        self._progress_at = self.began_at
+        self._machine = Machine(
+            self,
+            states=[state.value for state in TermState],
+            initial=TermState.READING.value,
+            transitions=TRANSITIONS,
+            auto_transitions=False,
+        )
+        self.copier = RecordCopier(host, run, term, self._list_copied, self.step_down)
+        self.takeover = Takeover(self)
+        self.record_repair = RecordRepair(self)
 
-    # -- taking over
+    # -- beginning and end
 
     async def begin(self) -> None:
-        """Gather, then serve; whatever goes wrong ends the term, so that the lease does not stay with one that leads
-        nothing."""
+        """Gathers, then serves.
+
+        Whatever goes wrong ends the term, so that the lease does not stay with one that leads nothing.
+        """
         try:
             await self._begin()
         except DeposedError:
@@ -62,239 +102,253 @@
             raise
 
     async def _begin(self) -> None:
-        store = self.store
-        while self.state == "reading" and not await self.takeover.gather():
-            await asyncio.sleep(store.heartbeat_interval_s)
-        if self.state != "reading":
+        host = self.host
+        while self.state == TermState.READING and not await self.takeover.gather():
+            await asyncio.sleep(host.heartbeat_interval_s)
+        if self.state != TermState.READING:
             return
-        self.gathered()
-        self.progress()
-        store.log.info("run {}: held under term {} with {} lots", self.run, self.term, len(self.batch_jobs))
-        store.counters.add("reign.begun")
+        self.trigger("gathered")
+        self.record_progress()
+        host.log.info("run {}: leadership acquired, term={} jobs={}", self.run, self.term, len(self.batch_jobs))
+        host.counters.add("leadership.begun")
         for batch_job in list(self.batch_jobs.values()):
-            store.state_board.notify(("lot", batch_job.job_id))
-        store.state_board.notify("work")
-        store.state_board.notify("members")  # what lacks copies is repaired at once
-        await self.takeover.take_up_ended()
+            host.state_board.notify(("lot", batch_job.job_id))
+        host.state_board.notify("work")
+        host.state_board.notify("members")  # what lacks copies is repaired at once
+        await self.takeover.adopt_ended_jobs()
 
     def step_down(self) -> None:
-        if self.state != "over":
-            self.deposed()
-            self.ended_at = self.store.clock.now()
-            self.store.counters.add("reign.over")
-            self.store.log.info("run {}: term {} is over", self.run, self.term)
-            for task in self._copying.values():
-                task.cancel()  # nothing of this term is answered any more; its waiters are told DeposedError
-            for job_id in self.batch_jobs:
-                self.store.state_board.notify(("lot", job_id))
-            self.store.state_board.notify("work")
+        """Ends the term: nothing of it is answered any more."""
+        if self.state == TermState.OVER:
+            return
+        self.trigger("deposed")
+        self.ended_at = self.host.clock.now()
+        self.host.counters.add("leadership.ended")
+        self.host.log.info("run {}: leadership ended, term={}", self.run, self.term)
+        self.copier.cancel_all()
+        for job_id in self.batch_jobs:
+            self.host.state_board.notify(("lot", job_id))
+        self.host.state_board.notify("work")
+
+    def is_holding(self) -> bool:
+        """Returns whether it serves."""
+        return self.state == TermState.HOLDING
 
     # -- what others are told
 
-    def progress(self) -> None:
-        """Something that this term waits for has been reached."""
-        self._progress_at = self.store.clock.now()
+    def record_progress(self) -> None:
+        """Takes up that something this term waits for has been reached."""
+        self._progress_at = self.host.clock.now()
 
     def record_progress_if_confirmed(self) -> None:
         """Called at each heartbeat: a holder that enough stores confirm is making progress."""
         if self.is_confirmed():
-            self.progress()
+            self.record_progress()
 
     def heartbeat_entry(self) -> Leading:
-        """What a heartbeat says of this run."""
-        return Leading(self.term, self.store.clock.now() - self._progress_at, self.record_repair.spared)
+        """Returns what a heartbeat says of this run."""
+        idle_s = self.host.clock.now() - self._progress_at
+        return Leading(self.term, idle_s, self.record_repair.dispensable_stores)
 
-    # -- serving
+    # -- proof of the lease
 
     def is_confirmed(self) -> bool:
-        """Whether enough stores said, not long ago, that they know no higher term: then no other holder has listed."""
-        return self.state == "holding" and self.store.confirmed(
-            self.run, self.term, self.store.settings.seconds("SettleMs", 0.5)
+        """Returns whether enough stores said, not long ago, that they know no higher term: no other holder listed."""
+        return self.state == TermState.HOLDING and self.host.confirmed(
+            self.run, self.term, self.host.settings.seconds("SettleMs", CONFIRMED_TO_READ)
         )
 
-    def may_order(self, iid: str | None = None) -> bool:
-        """Whether this node may order weights right now: at all, or from one replica."""
+    def may_order(self, instance_id: str | None = None) -> bool:
+        """Returns whether this node may order weights right now.
+
+        Args:
+            instance_id: The replica to order from; None asks whether it may order at all.
+        """
         return (
-            self.state == "holding"
-            and (iid is None or self.store.clock.now() >= self.may_order_from.get(iid, 0.0))
-            and self.store.confirmed(self.run, self.term, self.store.settings.seconds("LeaseMs", 1 / 3))
+            self.state == TermState.HOLDING
+            and (instance_id is None or self.host.clock.now() >= self.may_order_from.get(instance_id, 0.0))
+            and self.host.confirmed(self.run, self.term, self.host.settings.seconds("LeaseMs", CONFIRMED_TO_ORDER))
         )
 
-    # -- copying: the reign's own tasks do it, so that it goes on whatever happens to those who wait
-
-    async def _copy(self, records: list, batch_job: BatchJob | None) -> None:
-        """Have records copied; returns when enough stores have them. Whoever asks for the same waits for the same."""
-        key = place(records[0])
-        task = self._copying.get(key)
-        if task is None:
-            task = self._copying[key] = self.store.task_group.spawn("records", self._copy_on, key, records, batch_job)
-        await asyncio.wait({task})  # unlike an await of the task, this leaves it running if the waiter is cancelled
-        if task.cancelled() or task.result() is not True:
-            raise DeposedError(self.run)
+    # -- copying
 
-    async def _copy_on(self, key: tuple, records: list, batch_job: BatchJob | None) -> bool:
-        try:
-            await self.store.replicator.replicate(self.run, self.term, records)
-        except DeposedError:
-            self.step_down()
-            return False
-        except Exception:
-            self.step_down()  # a record without its copies must not stand in a term that goes on
-            raise
-        finally:
-            self._copying.pop(key, None)
-        if key[0] == "L":
+    def _list_copied(self, records: list[Record], batch_job: BatchJob | None) -> None:
+        """Counts records that came to enough stores: from now on they are acknowledged and listed."""
+        assert batch_job is not None  # None only for a job that another call is copying already
+        if records[0].kind == Kind.JOB:
             self.batch_jobs.setdefault(batch_job.job_id, batch_job)
-            self.store.counters.add("lot.taken")
-            self.store.state_board.notify("work")
+            self.host.counters.add("job.accepted")
+            self.host.state_board.notify("work")
         else:
             self.advance(batch_job)
-            self.store.state_board.notify(("lot", batch_job.job_id))
-        self.record_repair.copied(batch_job, records)
-        return True
+            self.host.state_board.notify(("lot", batch_job.job_id))
+        self.record_repair.check_copied(batch_job, records)
 
-    def copying(self, record: Record) -> bool:
-        """Whether a record is being copied; it is acknowledged only when enough stores that stay have it."""
-        return place(record) in self._copying
+    def is_copying(self, record: Record) -> bool:
+        """Returns whether a record is being copied; it is acknowledged only when enough stores that stay have it."""
+        return record.place() in self.copier.in_flight
 
-    def under_way(self) -> set:
-        """The places of all records that are being copied."""
-        return set(self._copying)
+    def copies_under_way(self) -> set:
+        """Returns the places of all records that are being copied."""
+        return set(self.copier.in_flight)
 
     def advance(self, batch_job: BatchJob) -> bool:
-        """List what has its copies, and all before it; whether there was any."""
+        """Lists what has its copies, and all before it; returns whether there was any."""
         before = batch_job.listed_count
-        while batch_job.listed_count < len(batch_job.results) and self.store.replicator.has_enough_copies(
-            batch_job.results[batch_job.listed_count]
-        ):
+        results = batch_job.results
+        has_enough_copies = self.host.replicator.has_enough_copies
+        while batch_job.listed_count < len(results) and has_enough_copies(results[batch_job.listed_count]):
             batch_job.listed_count += 1
         return batch_job.listed_count > before
 
-    async def accept_job(self, head: dict, body: bytes) -> None:
-        """Take a lot, once; returns when enough stores have it."""
-        self.offered_jobs.add(head["lot"])
-        if head["lot"] in self.batch_jobs:
+    # -- jobs and their results
+
+    async def accept_job(self, request: dict, body: bytes) -> None:
+        """Takes a job, once; returns when enough stores have it.
+
+        Args:
+            request: The call's document: `lot`, `host`, `path` and, where a key was asked for, `tenant`.
+            body: The job as it was handed in.
+
+        Raises:
+            DeposedError: The term ended before enough stores had it.
+        """
+        job_id = request["lot"]
+        self.offered_jobs.add(job_id)
+        if job_id in self.batch_jobs:
             return
-        record = Record(
-            {"k": "L", "lot": head["lot"], "run": self.run, "host": head["host"], "path": head["path"]}, body
-        )
-        if head.get("tenant") is not None:
-            record.head["tenant"] = head["tenant"]
+        record = Record(job_head(job_id, self.run, request["host"], request["path"]), body)
+        if request.get("tenant") is not None:
+            record.head["tenant"] = request["tenant"]
         batch_job = None
-        if place(record) not in self._copying:
-            batch_job = read_job(record.head, body, self.store.clock.now())
-            batch_job.base_offset = record.head["base"] = self._offsets(batch_job.model, batch_job.total)
+        if not self.is_copying(record):
+            batch_job = read_job(record.head, body, self.host.clock.now())
+            batch_job.base_offset = self._allot_offsets(batch_job.model, batch_job.total)
+            record.head["base"] = batch_job.base_offset
             batch_job.records.append(record)
-        await self._copy([record], batch_job)
-
-    def _offsets(self, shard: str, count: int) -> int:
-        """Room for a lot's items in the partition of its model: the first of so many offsets."""
-        at = self.next_offsets.get(shard, 0)
-        self.next_offsets[shard] = at + count
-        return at
-
-    async def replicate(self, record) -> None:
-        """Have a record of a partition's window synced with its copies; DeposedError if another leads."""
-        await self.store.replicator.replicate(self.run, self.term, [record])
-
-    async def record_order_intent(self, iid: str) -> float:
-        """Have enough stores know that an order is about to be sent to a replica; the time until which it may be."""
-        began = self.store.clock.now()
-        # not a task of the reign: without the one that waits, no order is sent, and the note binds nobody
-        await self.store.replicator.replicate(
-            self.run,
-            self.term,
-            [Record({"k": "O", "lot": "", "run": self.run, "iid": iid, "term": self.term, "t": self.elapsed_s()})],
-        )
-        return began + self.store.settings.seconds("LeaseMs", ORDER)
+        await self.copier.copy([record], batch_job)
 
-    def elapsed_s(self) -> float:
-        """Seconds of this reign by this node's steady clock: borne by records, so that others can tell how old a note
-        is at least."""
-        return round(self.store.clock.now() - self.began_at, 3)
+    def _allot_offsets(self, partition: str, count: int) -> int:
+        """Sets offsets of a partition aside for a job's items; returns the first."""
+        first = self.next_offsets.get(partition, 0)
+        self.next_offsets[partition] = first + count
+        return first
 
     async def end_job(self, job_id: str) -> None:
+        """Ends a job; returns when enough stores know it.
+
+        Raises:
+            DeposedError: The term ended before enough stores knew it.
+        """
         batch_job = self.batch_jobs[job_id]
-        batch_job.is_ended, batch_job.ended_at = True, batch_job.ended_at or self.store.clock.now()
+        batch_job.is_ended = True
+        batch_job.ended_at = batch_job.ended_at or self.host.clock.now()
         batch_job.release_items()
-        self.store.state_board.notify("work")
-        record = next((r for r in batch_job.records if r.head["k"] == "E"), None)
+        self.host.state_board.notify("work")
+        record = next((record for record in batch_job.records if record.kind == Kind.END), None)
         if record is None:
-            record = Record({"k": "E", "lot": job_id, "run": self.run})
+            record = Record(end_head(job_id, self.run))
             batch_job.records.append(record)
-        if not self.store.replicator.has_enough_copies(record):
-            await self._copy([record], batch_job)
+        if not self.host.replicator.has_enough_copies(record):
+            await self.copier.copy([record], batch_job)
 
-    async def append_result(self, batch_job: BatchJob, iid: str, doc: dict) -> None:
-        """Give an item its position; it is listed once enough stores hold it and all before it are."""
-        if iid in batch_job.positioned_items or self.state != "holding" or batch_job.is_ended:
+    async def append_result(self, batch_job: BatchJob, item_id: str, document: dict) -> None:
+        """Gives an item its position; it is listed once enough stores hold it and all before it are.
+
+        Raises:
+            DeposedError: The term ended before enough stores had it.
+        """
+        if item_id in batch_job.positioned_items or self.state != TermState.HOLDING or batch_job.is_ended:
             return
-        batch_job.positioned_items.add(iid)
-        record = Record(
-            {
-                "k": "R",
-                "lot": batch_job.job_id,
-                "run": self.run,
-                "pos": len(batch_job.results),
-                "term": self.term,
-                "item": iid,
-                "t": self.elapsed_s(),
-            },
-            encode_kept(doc),
-        )
+        batch_job.positioned_items.add(item_id)
+        position = len(batch_job.results)
+        head = result_head(batch_job.job_id, self.run, position, self.term, item_id, self.elapsed_s())
+        record = Record(head, encode_kept(document))
         batch_job.results.append(record)
         batch_job.records.append(record)
-        await self._copy([record], batch_job)
+        await self.copier.copy([record], batch_job)
+
+    async def read_results(self, job_id: str, after: int, wait_s: float) -> bytes | None:
+        """Reads a page of results.
+
+        Args:
+            job_id: The job.
+            after: The position from which on results are wanted.
+            wait_s: How long to wait for one if there is none yet.
 
-    async def read_results(self, job_id: str, after: int, hold: float) -> bytes | None:
-        """A page of results; None when this node cannot be sure."""
-        store = self.store
-        end = store.clock.now() + hold
+        Returns:
+            The answer to the reader as JSON, or None when this node cannot be sure that it still holds the run.
+        """
+        state_board = self.host.state_board
+        deadline = self.host.clock.now() + wait_s
         while True:
             if not self.is_confirmed():
                 return None
             batch_job = self.batch_jobs[job_id]
-            turn = store.state_board.version(("lot", job_id))
-            left = end - store.clock.now()
-            if batch_job.listed_count > after or left <= 0 or batch_job.listed_count == batch_job.total:
-                rows, nxt = batch_job.page(after)
-                return b'{"Total":%d,"NextToken":%d,"ResultList":[%s]}' % (batch_job.total, nxt, b",".join(rows))
-            await store.state_board.wait_for_change(("lot", job_id), turn, left)
-
-    def item_payload(self, job_id: str, iid: str) -> bytes | None:
-        batch_job = self.batch_jobs[job_id]
-        it = batch_job.items.get(iid)
-        return None if it is None else base64.b64decode(it.payload)
-
-    # -- repair
-
-    async def repair(self) -> None:
-        """Bring records to enough stores that stay in touch; say which leaving stores are not needed any more."""
-        await self.record_repair.round()
-
-    def needs_repair(self) -> bool:
-        """Whether the last round of repair left something to do."""
-        return self.state == "holding" and bool(self.record_repair.thin or self.pending_jobs)
-
-    def forget_old_jobs(self) -> list:
-        """Lots that are ended and older than StatusS."""
-        now, keep = self.store.clock.now(), self.store.settings.seconds("StatusS")
+            version = state_board.version(("lot", job_id))
+            left_s = deadline - self.host.clock.now()
+            if batch_job.listed_count > after or left_s <= 0 or batch_job.listed_count == batch_job.total:
+                rows, next_position = batch_job.page(after)
+                fields = batch_job.total, next_position, b",".join(rows)  # rows are JSON already: they are not decoded
+                return b'{"Total":%d,"NextToken":%d,"ResultList":[%s]}' % fields
+            await state_board.wait_for_change(("lot", job_id), version, left_s)
+
+    def item_payload(self, job_id: str, item_id: str) -> bytes | None:
+        """Returns the body of an item, or None if the job has no such item."""
+        item = self.batch_jobs[job_id].items.get(item_id)
+        return None if item is None else base64.b64decode(item.payload)
+
+    def forget_old_jobs(self) -> list[str]:
+        """Forgets jobs that are ended and older than StatusS; returns their ids."""
+        now = self.host.clock.now()
+        keep_s = self.host.settings.seconds("StatusS")
         old = [
             job_id
             for job_id, batch_job in self.batch_jobs.items()
-            if batch_job.is_ended and now - batch_job.accepted_at > keep and now - batch_job.ended_at > keep
+            if batch_job.is_ended and now - batch_job.accepted_at > keep_s and now - batch_job.ended_at > keep_s
         ]
         for job_id in old:
             del self.batch_jobs[job_id]
         return old
 
+    # -- windows and orders
 
-async def fetch_records(store, sid: str, address: str, job_id: str, poss: list, batch_job: bool):
-    """Records of a lot from another store, or None."""
-    try:
-        code, _, raw = await store.connections.to(address).call(
-            "shelf.fetch", {"to": sid, "lot": job_id, "poss": poss, "want_lot": batch_job}, timeout_s=store.quiet_s * 2
-        )
-    except CallError:
-        return None
-    return unpack_many(raw) if code == 1000 else None
+    async def replicate(self, record: Record) -> None:
+        """Has a record of a partition's window synced with its copies.
+
+        Raises:
+            DeposedError: Another leads the run.
+        """
+        await self.host.replicator.replicate(self.run, self.term, [record])
+
+    async def record_order_intent(self, instance_id: str) -> float:
+        """Has enough stores know that an order is about to be sent to a replica.
+
+        Returns:
+            The time until which it may be sent.
+
+        Raises:
+            DeposedError: Another leads the run.
+        """
+        began_at = self.host.clock.now()
+        # not a task of the term: without the one that waits, no order is sent, and the note binds nobody
+        record = Record(order_head(self.run, instance_id, (self.term, self.elapsed_s())))
+        await self.host.replicator.replicate(self.run, self.term, [record])
+        return began_at + self.host.settings.seconds("LeaseMs", ORDER_VALIDITY)
+
+    def elapsed_s(self) -> float:
+        """Returns the seconds of this term by this node's steady clock.
+
+        Records bear it, so that others can tell how old a note is at least.
+        """
+        return round(self.host.clock.now() - self.began_at, 3)
+
+    # -- repair
+
+    async def repair(self) -> None:
+        """Brings records to enough stores that stay in touch, and says which stores are not needed any more."""
+        await self.record_repair.round()
+
+    def needs_repair(self) -> bool:
+        """Returns whether the last round of repair left something to do."""
+        return self.state == TermState.HOLDING and bool(self.record_repair.under_replicated or self.pending_jobs)
--- a/archhatch/rollout_controller/scoring.py
+++ b/archhatch/rollout_controller/scoring.py
@@ -1,4 +1,4 @@
-"""Reward calls: the most urgent first, in the places that live requests leave."""
+"""Reward calls: sent in order of urgency, in the slots of the reward services that live requests leave."""
 
 from __future__ import annotations
 
@@ -6,113 +6,157 @@
 import base64
 import heapq
 import itertools
+from typing import Any, NamedTuple
 
-from ..upstream import AGAIN, ECHO, SEAL, Ran
+from ..upstream import AGAIN, ECHO, SEAL, Answer, Ran, ReplicaEndpoint
+from .host import ScoringHost
 from .load_limit import LoadLimit
 
+MAX_PASSED_OVER = 64  # waiting calls that are looked at for one slot: a long queue must not stall the event loop
+RETRY_PAUSE = 0.1  # of the host's gap_s: pause before a call that may not have run is sent again
+STATUS_FAILED = 500  # the reward service ran the call and failed: only this uses up an attempt
+POLL_INTERVAL = 0.5  # of a heartbeat: slots may come free without a notification
+TIMEOUT_TARGETS = 2  # times the route's target latency after which a call is given up, if its timeout is not shorter
+TYPICAL_RATIO = 0.3  # of the target latency of a route: what a call takes typically, to judge a replica by
 
-LOOK = 64  # waiting calls that are looked at for one place
+
+class _WaitingCall(NamedTuple):
+    """A call that waits for a slot; a tuple, because the heap compares many of them."""
+
+    key: tuple  # the order of urgency: the lowest goes first
+    sequence: int  # tells calls of the same key apart
+    work: Any  # the entry whose result is to be scored: item, score_fails and, of a worker, may_send()
+    slot: asyncio.Future  # resolves to the replica and the route
 
 
 class Scoring:
-    """score() gives the seal of a reward call's 2xx, or None once the call failed for good.
+    """Sends reward calls as slots come free.
 
-    >>> # scoring = Scoring(store, load_limit); task_group.run_forever("scoring", scoring.run);
+    >>> # scoring = Scoring(host, load_limit); task_group.run_forever("scoring", scoring.run)
     >>> # seal = await scoring.score(work, key)
     """
 
-    def __init__(self, store, load_limit: LoadLimit):
-        self.store, self.load_limit = store, load_limit
-        self.inbox: list = []
-        self.count = itertools.count()
+    def __init__(self, host: ScoringHost, load_limit: LoadLimit) -> None:
+        self.host = host
+        self.load_limit = load_limit
+        self.waiting: list[_WaitingCall] = []  # a heap
+        self._sequence = itertools.count()
+
+    async def score(self, work: Any, key: tuple) -> str | None:  # noqa: ANN401 - an acquired entry or a stand-in
+        """Waits for a slot, calls, and calls again where that may help.
 
-    async def score(self, work, key: tuple) -> str | None:
-        """Wait for a place in the order of key, call, and call again where that may help."""
+        Args:
+            work: The entry whose result is to be scored.
+            key: The order of urgency; the lowest goes first.
+
+        Returns:
+            The seal that the reward service's answer bears, or None once the call has failed for good.
+        """
         while True:
-            fut = asyncio.get_running_loop().create_future()
-            heapq.heappush(self.inbox, (key, next(self.count), work, fut))
-            self.store.state_board.notify("score")
-            try:
-                line, route = await fut
-            except asyncio.CancelledError:
-                if fut.done() and not fut.cancelled():
-                    fut.result()[0].under_way -= 1  # the place came just as the lot ended
-                    self.store.state_board.notify("score")
-                raise
-            answer = await self._call(work, line, route)
+            replica, route = await self._slot_for(work, key)
+            answer = await self._call(work, replica, route)
             if answer.good:
-                return next(v for k, v in answer.heads if k.lower() == SEAL.lower())
-            self.store.counters.add(f"score.{answer.ran.value}.{answer.status}")
-            if answer.ran is Ran.YES and answer.status == 500:
+                return next(value for name, value in answer.heads if name.lower() == SEAL.lower())
+            self.host.counters.add(f"score.{answer.ran.value}.{answer.status}")
+            if answer.ran is Ran.YES and answer.status == STATUS_FAILED:
                 work.score_fails += 1
                 if work.score_fails >= route.sends:
                     return None
             else:
-                await asyncio.sleep(self.store.gap_s() * 0.1)
+                await asyncio.sleep(self.host.gap_s() * RETRY_PAUSE)
+
+    async def _slot_for(self, work: Any, key: tuple) -> tuple:  # noqa: ANN401 - as in score()
+        """Waits for a slot; returns the replica that has it, and the route."""
+        slot = asyncio.get_running_loop().create_future()
+        heapq.heappush(self.waiting, _WaitingCall(key, next(self._sequence), work, slot))
+        self.host.state_board.notify("score")
+        try:
+            return await slot
+        except asyncio.CancelledError:
+            if slot.done() and not slot.cancelled():  # the slot came just as the job ended: give it back
+                slot.result()[0].under_way -= 1
+                self.host.state_board.notify("score")
+            raise
 
     async def run(self) -> None:
-        """Give places to those who wait, as they come free."""
-        store, turn = self.store, 0
+        """Gives slots to those who wait, as they come free."""
+        version = 0
         while True:
-            while self._place_one():
+            while self._assign_one():
                 pass
-            turn = await store.state_board.wait_for_change("score", turn, store.heartbeat_interval_s * 0.5)
-
-    def _place_one(self) -> bool:
-        """Give a place to the first call that can have one; those that must wait do not hold up the others."""
-        passed, full, done = [], set(), False
-        while self.inbox and not done and len(passed) < LOOK:
-            call = heapq.heappop(self.inbox)
-            if call[3].done():
-                continue  # its lot has ended
-            done = self._place(call, full)
-            if not done:
-                passed.append(call)
-        for call in passed:
-            heapq.heappush(self.inbox, call)
-        return done
-
-    def _place(self, call, full: set) -> bool:
-        """Whether a call got a place; full: services that are known to have none."""
-        store, work = self.store, call[2]
-        may_send = getattr(work, "may_send", None)
+            version = await self.host.state_board.wait_for_change(
+                "score", version, self.host.heartbeat_interval_s * POLL_INTERVAL
+            )
+
+    def _assign_one(self) -> bool:
+        """Gives a slot to the first call that can have one; those that must wait do not hold up the others."""
+        passed_over: list[_WaitingCall] = []
+        full_services: set[str] = set()
+        assigned = False
+        while self.waiting and not assigned and len(passed_over) < MAX_PASSED_OVER:
+            call = heapq.heappop(self.waiting)
+            if call.slot.done():
+                continue  # its job has ended
+            assigned = self._assign(call, full_services)
+            if not assigned:
+                passed_over.append(call)
+        for call in passed_over:
+            heapq.heappush(self.waiting, call)
+        return assigned
+
+    def _assign(self, call: _WaitingCall, full_services: set[str]) -> bool:
+        """Gives a call a slot if there is one.
+
+        Args:
+            call: The call that waits.
+            full_services: Services that are known to have no slot; the call's is added if it has none.
+
+        Returns:
+            Whether the call got a slot.
+        """
+        host = self.host
+        may_send = getattr(call.work, "may_send", None)
         if may_send is not None and not may_send():
-            return False  # its leader was not heard of late: the lot may be ended
-        sc = work.item.scorer
-        route = store.plan.route(sc["HostName"], sc["Path"].split("?", 1)[0])
+            return False  # its partition's leader was not heard of lately: the job may be ended
+        scorer = call.work.item.scorer
+        route = host.plan.route(scorer["HostName"], scorer["Path"].split("?", 1)[0])
         service = route.pick() if route is not None else None
-        if service is None or service in full:
+        if service is None or service in full_services:
             return False
-        line = store.load_balancer.pick(service, set(), store.clock.now(), route)
-        if line is None or line.under_way >= self.load_limit.usable_slots(
-            service, line.slots, len(store.load_balancer.by_service[service])
-        ):
-            full.add(service)
+        replica = host.load_balancer.pick(service, set(), host.clock.now(), route)
+        if replica is None or replica.under_way >= self._usable_slots(service, replica):
+            full_services.add(service)
             return False
-        line.under_way += 1
-        call[3].set_result((line, route))
+        replica.under_way += 1
+        call.slot.set_result((replica, route))
         return True
 
-    async def _call(self, work, line, route):
-        store, began, sc = self.store, self.store.clock.now(), work.item.scorer
-        heads = [("Host", sc["HostName"]), (ECHO, sc["InstanceId"])]
-        store.counters.add("score.send")
+    def _usable_slots(self, service: str, replica: ReplicaEndpoint) -> int:
+        replica_count = len(self.host.load_balancer.by_service[service])
+        return self.load_limit.usable_slots(service, replica.slots, replica_count)
+
+    async def _call(self, work: Any, replica: ReplicaEndpoint, route: Any) -> Answer:  # noqa: ANN401 - as in score()
+        """Sends one reward call to the replica whose slot it has, and gives the slot back."""
+        host = self.host
+        began = host.clock.now()
+        scorer = work.item.scorer
+        host.counters.add("score.send")
         try:
-            answer = await store.upstream_client.send(
-                line.address,
-                line.iid,
+            answer = await host.upstream_client.send(
+                replica.address,
+                replica.iid,
                 "POST",
-                sc["Path"],
-                heads,
-                base64.b64decode(sc.get("Payload", "")),
-                sc["InstanceId"],
-                min(route.timeout_s, route.aim_s * 2),
+                scorer["Path"],
+                [("Host", scorer["HostName"]), (ECHO, scorer["InstanceId"])],
+                base64.b64decode(scorer.get("Payload", "")),
+                scorer["InstanceId"],
+                min(route.timeout_s, route.aim_s * TIMEOUT_TARGETS),
                 AGAIN,
                 getattr(work, "may_send", None),
             )
         finally:
-            line.under_way -= 1
-            store.state_board.notify("score")
-        now = store.clock.now()
-        store.load_balancer.judge(line, answer, now, now - began, route.aim_s * 0.3)
+            replica.under_way -= 1
+            host.state_board.notify("score")
+        now = host.clock.now()
+        host.load_balancer.judge(replica, answer, now, now - began, route.aim_s * TYPICAL_RATIO)
         return answer
--- a/archhatch/rollout_controller/takeover.py
+++ b/archhatch/rollout_controller/takeover.py
@@ -1,248 +1,343 @@
-"""How a new leadership term begins: it reads what so many stores hold of the run that no acknowledged record can be
-missed, and has what too few of them hold written anew."""
+"""How a new leadership term begins.
+
+It reads what so many stores hold of the run that no acknowledged record can be missed, and has what too few of them
+hold written anew.
+"""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from ..jobs import BatchJob, DeposedError, Record, read_job
+from ..jobs.record import Kind
+from ..jobs.run_report import HeldJob, RunReport
+from .host import LeadershipHost
 
-from ..jobs import DeposedError, BatchJob, Record, read_job
+if TYPE_CHECKING:
+    from .leadership_term import LeadershipTerm
 
-ABREAST = 8  # lots that are adopted side by side
-ORDER = 1 / 6  # of LeaseMs: how long after its note an order may be sent
+CONCURRENT_ADOPTIONS = 8  # jobs taken up side by side: copies share calls and syncs, but fetches must not time out
+ORDER_VALIDITY = 1 / 6  # of LeaseMs: how long after its intent was recorded an order may be sent
+DONE_CODE = 1000  # the result code of a command that was carried out
+DEPOSED_CODE = 2018  # the result code of a command under a term that is not the newest
 
 
 @dataclass
 class Copies:
-    """The records of one lot that were found, here or at other stores."""
+    """The records of one job that were found, here or at other stores.
 
-    batch_job: Record | None
+    Attributes:
+        job: The record of the job itself.
+        end: The record of its end, if it has ended.
+        results: The record of the chosen term by position.
+    """
+
+    job: Record | None
     end: Record | None
-    results: dict[int, Record] = field(default_factory=dict)  # position -> the record of the chosen term
+    results: dict[int, Record] = field(default_factory=dict)
+
+    def is_whole(self, result_count: int) -> bool:
+        """Returns whether the job and all its results are here."""
+        return self.job is not None and all(position in self.results for position in range(result_count))
 
 
 class Takeover:
-    """The reading part of one term; what it finds is put into the reign.
+    """The reading part of one term; what it finds is put into the term.
 
-    >>> # takeover = Takeover(leadership); while not await takeover.gather(): ...; await takeover.take_up_ended()
+    >>> # takeover = Takeover(leadership)
+    >>> # while not await takeover.gather(): await asyncio.sleep(pause_s)
+    >>> # await takeover.adopt_ended_jobs()
     """
 
-    def __init__(self, leadership):
-        self.leadership, self.store = leadership, leadership.store
-        self._addrs: dict[str, str] = {}  # the stores that were asked
-        self._heard: set = set()  # the stores that have answered
+    def __init__(self, leadership: LeadershipTerm) -> None:
+        self.leadership = leadership
+        self.host: LeadershipHost = leadership.host
+        self._addresses: dict[str, str] = {}  # the stores that were asked
+        self._answered: set[str] = set()  # the stores that have answered in any round
 
     # -- reading
 
     async def gather(self) -> bool:
-        """Ask all stores for the run, and take up its open lots; False if it is to be tried again."""
-        store, leadership = self.store, self.leadership
-        # from here on no older holder's word ends the membership of a store that this gather counts on
-        code, doc = await store.config_watcher.run_command(
+        """Asks all stores for the run, and takes up its open jobs.
+
+        Returns:
+            False if it is to be tried again.
+
+        Raises:
+            DeposedError: A store knows a higher term.
+        """
+        host = self.host
+        leadership = self.leadership
+        # from here on no older holder's request ends the membership of a store that this gather counts on
+        code, document = await host.config_watcher.run_command(
             "plan", "run.begin", {"run": leadership.run, "term": leadership.term}
         )
-        if code == 2018:
+        if code == DEPOSED_CODE:
             raise DeposedError(leadership.run)
-        if code != 1000 or store.id not in doc["stores"]:
+        if code != DONE_CODE or host.id not in document["stores"]:
             return False
-        self._addrs = {sid: store.addr_of(member) for sid, member in doc["stores"].items()}
-        told = await self._ask_all(doc["stores"])
-        if told is None:
+        self._addresses = {sid: host.addr_of(member) for sid, member in document["stores"].items()}
+        reports = await self._ask_all(document["stores"])
+        if reports is None:
             return False
-        self.heed_orders(list(told.values()))
-        leadership.window_records = [row for out in told.values() for row in out["windows"]]
-        seen: dict[str, dict] = {}
-        for sid, out in told.items():
-            for job_id, said in out["lots"].items():
-                seen.setdefault(job_id, {})[sid] = said
+        self.wait_out_orders(reports.values())
+        leadership.window_records = [row for report in reports.values() for row in report.windows]
+        held_by = _held_by_job(reports)
         leadership.pending_jobs = {
-            job_id: said for job_id, said in seen.items() if any(x["end"] for x in said.values())
+            job_id: held for job_id, held in held_by.items() if any(job.has_end for job in held.values())
         }
-        return await self._adopt_all(
-            {job_id: said for job_id, said in seen.items() if job_id not in leadership.pending_jobs}
-        )
+        open_jobs = {job_id: held for job_id, held in held_by.items() if job_id not in leadership.pending_jobs}
+        return await self._adopt_all(open_jobs)
+
+    async def _ask_all(self, members: dict[str, dict]) -> dict[str, RunReport] | None:
+        """Asks the stores for the run, and has them promise to take nothing from older terms.
+
+        Returns:
+            The reports by store, this one's among them; None if too few answered.
 
-    async def _ask_all(self, members: dict) -> dict | None:
-        """What the stores tell, this one among them; None if too few answered. DeposedError if one knows more."""
-        store, leadership = self.store, self.leadership
-        told: dict[str, dict] = {}
-        promise = {"run": leadership.run, "term": leadership.term}
+        Raises:
+            DeposedError: A store knows a higher term.
+        """
+        host = self.host
+        reports: dict[str, RunReport] = {}
+        promise = {"run": self.leadership.run, "term": self.leadership.term}
         tasks = {
-            asyncio.ensure_future(store.ask_store(sid, address, "shelf.prepare", promise)): sid
-            for sid, address in self._addrs.items()
+            asyncio.ensure_future(host.ask_store(sid, address, "shelf.prepare", promise)): sid
+            for sid, address in self._addresses.items()
         }
-        wait = set(tasks)
+        waiting = set(tasks)
         try:
-            while wait:
-                sure = store.id in told and store.quorum.has_heard_enough(told, members)
-                # once it is sure, the others are given a moment: copies that they have need not be made anew
-                done, wait = await asyncio.wait(
-                    wait, timeout=store.heartbeat_interval_s if sure else None, return_when=asyncio.FIRST_COMPLETED
-                )
+            while waiting:
+                # once it is enough, the others are given a moment: copies that they have need not be made anew
+                timeout_s = host.heartbeat_interval_s if self._is_enough(reports, members) else None
+                done, waiting = await asyncio.wait(waiting, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
                 if not done:
                     break
                 for task in done:
-                    out = task.result()
-                    if out is None:
-                        continue
-                    if not out["ok"]:
-                        raise DeposedError(leadership.run)
-                    told[tasks[task]] = out
-                    self._note_heard(tasks[task])
+                    self._take_report(tasks[task], task.result(), reports)
         finally:
-            for task in wait:
+            for task in waiting:
                 task.cancel()
-        return told if store.id in told and store.quorum.has_heard_enough(told, members) else None
+        return reports if self._is_enough(reports, members) else None
+
+    def _is_enough(self, reports: dict[str, RunReport], members: dict[str, dict]) -> bool:
+        return self.host.id in reports and self.host.quorum.has_heard_enough(reports, members)
 
-    def _note_heard(self, sid: str) -> None:
-        if sid not in self._heard:
-            self._heard.add(sid)
-            self.leadership.progress()
+    def _take_report(self, sid: str, answer: dict | None, reports: dict[str, RunReport]) -> None:
+        if answer is None:
+            return
+        if not answer["ok"]:
+            raise DeposedError(self.leadership.run)
+        reports[sid] = RunReport.from_document(answer)
+        if sid not in self._answered:
+            self._answered.add(sid)
+            self.leadership.record_progress()
 
-    def heed_orders(self, told: list) -> None:
-        """An earlier holder meant to order from these replicas: wait out its right to, and then the lease.
+    def wait_out_orders(self, reports: Iterable[RunReport]) -> None:
+        """Puts off orders to replicas that an earlier holder meant to order from.
+
+        They wait until its right to order, and then its lease, have run out.
 
         How long ago that was, a store knows since its start. Records of the same term that bear a later time of that
         holder's clock prove more, also after a loss of power by all.
+
+        Args:
+            reports: What the stores say of the run.
         """
-        now, wait = self.store.clock.now(), self.store.settings.seconds("LeaseMs", 1 + ORDER)
-        tick = max((tuple(out["tick"]) for out in told if out["tick"]), default=(0, 0.0))
+        reports = list(reports)
+        now = self.host.clock.now()
+        wait_s = self.host.settings.seconds("LeaseMs", 1 + ORDER_VALIDITY)
+        newest = max((tuple(report.newest_time) for report in reports if report.newest_time), default=(0, 0.0))
         may_order_from = self.leadership.may_order_from
-        for out in told:
-            for iid, age in out["orders"].items():
-                term, t = out["noted"].get(iid, (tick[0], tick[1]))
-                if term < tick[0]:
-                    age = max(age, tick[1])
-                elif term == tick[0]:
-                    age = max(age, tick[1] - t)
-                at = now - age + wait
-                may_order_from[iid] = max(at, may_order_from.get(iid, at))
-
-    # -- taking up lots
-
-    async def take_up_ended(self) -> None:
-        """Ended lots follow once the open ones are served: nobody waits for their results."""
+        for report in reports:
+            for instance_id, age_s in report.order_ages_s.items():
+                noted = report.order_times.get(instance_id, newest)
+                may_at = now - proven_age_s(age_s, noted, newest) + wait_s
+                may_order_from[instance_id] = max(may_at, may_order_from.get(instance_id, may_at))
+
+    # -- taking up jobs
+
+    async def adopt_ended_jobs(self) -> None:
+        """Takes up ended jobs, once the open ones are served: nobody waits for their results."""
         leadership = self.leadership
-        while leadership.pending_jobs and leadership.state == "holding":
+        while leadership.pending_jobs and leadership.is_holding():
             if not await self._adopt_all(leadership.pending_jobs):
-                await asyncio.sleep(self.store.heartbeat_interval_s)
+                await asyncio.sleep(self.host.heartbeat_interval_s)
 
-    async def _adopt_all(self, seen: dict) -> bool:
-        """Take up lots; True if that went well for all of them."""
-        # some side by side: what they copy to a store shares calls and syncs; not all, or fetches outlast their time
-        few = asyncio.Semaphore(ABREAST)
+    async def _adopt_all(self, held_by: dict[str, dict[str, HeldJob]]) -> bool:
+        """Takes up jobs; returns whether that went well for all of them."""
+        limit = asyncio.Semaphore(CONCURRENT_ADOPTIONS)
 
-        async def adopt(job_id):
-            async with few:
-                well = await self._adopt(job_id, seen[job_id])
-                if well:
+        async def adopt(job_id: str) -> bool:
+            async with limit:
+                is_adopted = await self._adopt(job_id, held_by[job_id])
+                if is_adopted:
                     self.leadership.pending_jobs.pop(job_id, None)
-                    self.leadership.progress()
-                return well
+                    self.leadership.record_progress()
+                return is_adopted
 
-        tasks = [asyncio.ensure_future(adopt(job_id)) for job_id in sorted(seen)]
+        tasks = [asyncio.ensure_future(adopt(job_id)) for job_id in sorted(held_by)]
         try:
             return all(await asyncio.gather(*tasks))
         finally:
             for task in tasks:
                 task.cancel()
 
-    async def _adopt(self, job_id: str, seen: dict) -> bool:
-        """Take up one lot from what the stores said; positions without enough copies are written anew."""
+    async def _adopt(self, job_id: str, held: dict[str, HeldJob]) -> bool:
+        """Takes up one job from what the stores hold; positions without enough copies are written anew."""
         leadership = self.leadership
-        if not any(said["lot"] for said in seen.values()):
-            return True  # only an end or results without the lot: it was never accepted
-        chosen = choose(seen)
-        copies = await self._collect(job_id, seen, chosen)
+        if not any(job.has_job for job in held.values()):
+            return True  # only an end or results without the job: it was never accepted
+        chosen = choose_results(held)
+        copies = await self._collect(job_id, held, chosen)
         if copies is None:
             return False
-        batch_job, again = self._rebuild(job_id, seen, chosen, copies)
-        if again:
-            self.store.counters.add("adopt.again", len(again))
-            await self.store.replicator.replicate(leadership.run, leadership.term, again)
+        batch_job = self._rebuild(job_id, held, chosen, copies)
+        rewritten = [record for record in batch_job.records if not self.host.replicator.has_enough_copies(record)]
+        if rewritten:
+            self.host.counters.add("takeover.rewritten", len(rewritten))
+            await self.host.replicator.replicate(leadership.run, leadership.term, rewritten)
         batch_job.listed_count = len(batch_job.results)
         leadership.batch_jobs[job_id] = batch_job
-        leadership.next_offsets[batch_job.model] = max(
-            leadership.next_offsets.get(batch_job.model, 0), batch_job.base_offset + batch_job.total
-        )
+        next_offset = leadership.next_offsets.get(batch_job.model, 0)
+        leadership.next_offsets[batch_job.model] = max(next_offset, batch_job.base_offset + batch_job.total)
         return True
 
-    async def _collect(self, job_id: str, seen: dict, chosen: list) -> Copies | None:
-        """The records of a lot, fetched from other stores where they are not here; None if some are not to be had."""
-        mine = self.store.record_store.batch_jobs.get(job_id) or {"lot": None, "results": {}, "end": None}
-        here = {
-            pos: mine["results"][pos]
-            for pos, (term, _) in enumerate(chosen)
-            if pos in mine["results"] and mine["results"][pos].head["term"] == term
-        }
-        copies = Copies(mine["lot"], mine["end"], here)
-        for sid, said in seen.items():
-            if sid != self.store.id and not await self._fetch(sid, job_id, said, chosen, copies):
+    async def _collect(self, job_id: str, held: dict[str, HeldJob], chosen: list[tuple[int, str]]) -> Copies | None:
+        """The records of a job, fetched from other stores where they are not here; None if some are not to be had."""
+        stored = self.host.record_store.batch_jobs.get(job_id)
+        copies = Copies(None, None)
+        if stored is not None:
+            copies = Copies(stored.job, stored.end)
+            for position, (term, _) in enumerate(chosen):
+                record = stored.results.get(position)
+                if record is not None and record.head["term"] == term:
+                    copies.results[position] = record
+        for sid, job in held.items():
+            if sid != self.host.id and not await self._fetch(sid, job_id, job, chosen, copies):
                 return None
-        whole = copies.batch_job is not None and all(pos in copies.results for pos in range(len(chosen)))
-        return copies if whole else None
-
-    async def _fetch(self, sid: str, job_id: str, said: dict, chosen: list, copies: Copies) -> bool:
-        """Have a store's copies of what is still lacking; False if it does not answer."""
-        want = [
-            pos
-            for pos, (term, _) in enumerate(chosen)
-            if pos not in copies.results and any(pos == row[0] and term == row[1] for row in said["results"])
+        return copies if copies.is_whole(len(chosen)) else None
+
+    async def _fetch(self, sid: str, job_id: str, held: HeldJob, chosen: list[tuple[int, str]], copies: Copies) -> bool:
+        """Fetches a store's copies of what is still lacking; False if it does not answer."""
+        there = {(position, term) for position, term, _ in held.results}
+        wanted = [
+            position
+            for position, (term, _) in enumerate(chosen)
+            if position not in copies.results and (position, term) in there
         ]
-        need_lot = copies.batch_job is None and said["lot"]
-        if not want and not need_lot and not (said["end"] and copies.end is None):
+        lacks_job = copies.job is None and held.has_job
+        lacks_end = copies.end is None and held.has_end
+        if not wanted and not lacks_job and not lacks_end:
             return True
-        records = await self.store.fetch(sid, self._addrs[sid], job_id, want, need_lot)
+        records = await self.host.fetch(sid, self._addresses[sid], job_id, wanted, lacks_job)
         if records is None:
             return False
-        self.leadership.progress()
+        self.leadership.record_progress()
         for record in records:
-            if record.head["k"] == "L":
-                copies.batch_job = copies.batch_job or record
-            elif record.head["k"] == "E":
-                copies.end = copies.end or record
-            elif record.head["pos"] < len(chosen) and record.head["term"] == chosen[record.head["pos"]][0]:
-                copies.results.setdefault(record.head["pos"], record)
+            _take_copy(record, chosen, copies)
         return True
 
-    def _rebuild(self, job_id: str, seen: dict, chosen: list, copies: Copies) -> tuple[BatchJob, list]:
-        """The lot as this term lists it, and the records of it that too few stores hold."""
-        store, leadership = self.store, self.leadership
-        mine = store.record_store.batch_jobs.get(job_id) or {}
-        batch_job = read_job(copies.batch_job.head, copies.batch_job.body, mine.get("at", store.clock.now()))
-        batch_job.records.append(
-            Record(dict(copies.batch_job.head), copies.batch_job.body, {sid for sid, s in seen.items() if s["lot"]})
-        )
-        where = {sid: {tuple(row) for row in said["results"]} for sid, said in seen.items()}
-        for pos, (term, item) in enumerate(chosen):
-            held = {sid for sid, rows in where.items() if (pos, term, item) in rows}
-            record = Record(dict(copies.results[pos].head), copies.results[pos].body, held)
-            if not store.replicator.has_enough_copies(record):
-                record = Record({**record.head, "term": leadership.term, "t": leadership.elapsed_s()}, record.body)
+    def _rebuild(
+        self, job_id: str, held: dict[str, HeldJob], chosen: list[tuple[int, str]], copies: Copies
+    ) -> BatchJob:
+        """The job as this term lists it; records that too few stores hold bear this term."""
+        host = self.host
+        stored = host.record_store.batch_jobs.get(job_id)
+        accepted_at = host.clock.now() if stored is None else stored.stored_at
+        assert copies.job is not None  # _collect returns none without the job
+        batch_job = read_job(copies.job.head, copies.job.body, accepted_at)
+        batch_job.records.append(_copy_of(copies.job, {sid for sid, job in held.items() if job.has_job}))
+        rows_by_store = {sid: {tuple(row) for row in job.results} for sid, job in held.items()}
+        for position, (term, item_id) in enumerate(chosen):
+            holders = {sid for sid, rows in rows_by_store.items() if (position, term, item_id) in rows}
+            record = _copy_of(copies.results[position], holders)
+            if not host.replicator.has_enough_copies(record):
+                head = {**record.head, "term": self.leadership.term, "t": self.leadership.elapsed_s()}
+                record = Record(head, record.body)
             batch_job.results.append(record)
             batch_job.records.append(record)
-            batch_job.positioned_items.add(item)
+            batch_job.positioned_items.add(item_id)
         if copies.end is not None:
-            batch_job.is_ended, batch_job.ended_at = True, store.clock.now()
+            batch_job.is_ended = True
+            batch_job.ended_at = host.clock.now()
             batch_job.release_items()
-            held = {sid for sid, said in seen.items() if said["end"]}
-            batch_job.records.append(Record(dict(copies.end.head), copies.end.body, held))
-        return batch_job, [record for record in batch_job.records if not store.replicator.has_enough_copies(record)]
+            batch_job.records.append(_copy_of(copies.end, {sid for sid, job in held.items() if job.has_end}))
+        return batch_job
+
+
+def proven_age_s(age_s: float, noted: tuple, newest: tuple) -> float:
+    """Returns how old the intent of an order is at least.
+
+    Args:
+        age_s: Seconds since a store synced the intent, or since its start.
+        noted: The (term, seconds of that term) at which it was written.
+        newest: The newest (term, seconds of that term) that any record bears.
+
+    >>> proven_age_s(0.0, (4, 10.0), (4, 12.0)), proven_age_s(3.0, (4, 10.0), (4, 12.0))
+    (2.0, 3.0)
+    >>> proven_age_s(0.0, (3, 9.0), (4, 2.0))
+    2.0
+    """
+    term, elapsed_s = noted
+    if term < newest[0]:  # written before all of the newest term
+        return max(age_s, newest[1])
+    if term == newest[0]:
+        return max(age_s, newest[1] - elapsed_s)
+    return age_s
 
 
-def choose(seen: dict) -> list:
-    """The (term, item) at each position from the first on: the highest term's, up to a hole, each item once.
+def choose_results(held: dict[str, HeldJob]) -> list[tuple[int, str]]:
+    """Chooses the result at each position of a job.
 
-    >>> choose({"a": {"results": [[0, 1, "x"], [2, 1, "z"]]}, "b": {"results": [[0, 2, "y"]]}})
+    Args:
+        held: What each store holds of the job.
+
+    Returns:
+        The (term, item) at each position from the first on: the highest term's, up to a hole, each item once. Behind a
+        hole nothing was listed, so nothing there was ever told to anybody.
+
+    >>> held = {"a": HeldJob(True, False, [[0, 1, "x"], [2, 1, "z"]]), "b": HeldJob(True, False, [[0, 2, "y"]])}
+    >>> choose_results(held)
     [(2, 'y')]
     """
-    best: dict[int, tuple] = {}
-    for said in seen.values():
-        for pos, term, item in said["results"]:
-            if pos not in best or term > best[pos][0]:
-                best[pos] = (term, item)
-    chosen, items = [], set()
+    best: dict[int, tuple[int, str]] = {}
+    for job in held.values():
+        for position, term, item_id in job.results:
+            if position not in best or term > best[position][0]:
+                best[position] = (term, item_id)
+    chosen: list[tuple[int, str]] = []
+    items: set[str] = set()
     while len(chosen) in best and best[len(chosen)][1] not in items:
         items.add(best[len(chosen)][1])
         chosen.append(best[len(chosen)])
     return chosen
+
+
+def _held_by_job(reports: dict[str, RunReport]) -> dict[str, dict[str, HeldJob]]:
+    """What each store holds of each job: job id -> store id -> what it holds."""
+    held_by: dict[str, dict[str, HeldJob]] = {}
+    for sid, report in reports.items():
+        for job_id, job in report.jobs.items():
+            held_by.setdefault(job_id, {})[sid] = job
+    return held_by
+
+
+def _take_copy(record: Record, chosen: list[tuple[int, str]], copies: Copies) -> None:
+    """Puts a fetched record where it belongs, if nothing is there yet."""
+    if record.kind == Kind.JOB:
+        copies.job = copies.job or record
+    elif record.kind == Kind.END:
+        copies.end = copies.end or record
+    else:
+        position = record.head["pos"]
+        if position < len(chosen) and record.head["term"] == chosen[position][0]:
+            copies.results.setdefault(position, record)
+
+
+def _copy_of(record: Record, holders: set[str]) -> Record:
+    """A record of its own, whose holders change apart from those of the store's."""
+    return Record(dict(record.head), record.body, holders)
--- a/archhatch/store/departure.py
+++ b/archhatch/store/departure.py
@@ -9,7 +9,7 @@
 import asyncio
 
 from ..jobs import active_members
-from ..rollout_controller.leadership_term import ORDER
+from ..rollout_controller.takeover import ORDER_VALIDITY
 
 MEMBERSHIP = "the membership"  # stands for all runs in what is logged
 ASK = 0.25  # of ContactMs: how long one control node may take to answer
@@ -59,7 +59,7 @@
         last = max(
             (at for notes in store.record_store.order_intents.values() for at in notes.values()), default=float("-inf")
         )
-        return store.clock.now() - last < store.settings.seconds("LeaseMs", 1 + ORDER)
+        return store.clock.now() - last < store.settings.seconds("LeaseMs", 1 + ORDER_VALIDITY)
 
     async def _give_up_membership(self) -> None:
         """Ask to be let out, if those that stay can still bear the allowed losses."""
@@ -91,7 +91,7 @@
             return set()  # every holder has said so already
         if self.asked:
             return {MEMBERSHIP}
-        here = {entry["run"] for entry in store.record_store.batch_jobs.values()}
+        here = {stored.run for stored in store.record_store.batch_jobs.values()}
         return {run for run in here if not self._spared(run, store.leases().get(run), member["clear"])}
 
     def _others_stay(self) -> bool:
--- a/archhatch/store/evacuation.py
+++ b/archhatch/store/evacuation.py
@@ -117,7 +117,7 @@
                 store.replicator.send(sid, leadership.run, leadership.term, [record])
                 for batch_job, record in shard
                 for sid in store.replicator.targets(
-                    batch_job.job_id, record.held & goal.keys(), avoid=elsewhere, silent=False
+                    batch_job.job_id, record.held & goal.keys(), avoid=elsewhere, allow_unreachable=False
                 )
             ]
             store.counters.add("evacuation.copies", len(sends))
--- a/archhatch/store/node.py
+++ b/archhatch/store/node.py
@@ -19,7 +19,7 @@
 from ..rpc import CallError, ConnectionPool, Handlers, CallRefusedError, Server
 from ..upstream import UpstreamClient, LoadBalancer
 from ..rollout_controller import Engines, WeightOrders, LeadershipTerm
-from ..rollout_controller.leadership_term import fetch_records
+from ..rollout_controller.record_fetch import FetchRequest, fetch_records
 from ..usage.reporter import UsageReporter
 from ..wal import WriteAheadLog
 from .departure import Departure
@@ -242,7 +242,7 @@
 
     async def fetch(self, sid, address, job_id, poss, batch_job):
         """Records of a lot from another store, or None."""
-        return await fetch_records(self, sid, address, job_id, poss, batch_job)
+        return await fetch_records(self, address, FetchRequest(sid, job_id, poss, batch_job))
 
     async def _roll_loop(self) -> None:
         turn = 0
--- a/archhatch/store/repair.py
+++ b/archhatch/store/repair.py
@@ -41,8 +41,8 @@
         keep_s, now = store.settings.seconds("StatusS", 2), store.clock.now()
         old = [
             job_id
-            for job_id, entry in store.record_store.batch_jobs.items()
-            if entry["end"] is not None and now - entry["at"] > keep_s
+            for job_id, stored in store.record_store.batch_jobs.items()
+            if stored.end is not None and now - stored.stored_at > keep_s
         ]
         store.record_store.forget(old, store.settings.seconds("LeaseMs", 2))
         await store.record_store.rewrite_if_due()
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -16,7 +16,7 @@
 import orjson
 import pytest
 from tests.support.fakes import HandClock, MemBook
-from tests.rollout_controller.test_leadership_term import FakeCopier, FakeStore
+from tests.support.leadership_rig import FakeCopier, FakeStore
 
 from archhatch.jobs import Record, RecordStore, unpack
 from archhatch.consensus import Acceptor
--- a/tests/jobs/test_batch_job.py
+++ b/tests/jobs/test_batch_job.py
@@ -118,7 +118,7 @@
         record_store = RecordStore(MemBook(), clock, Counters())
         for n, t in enumerate(terms, 1):
             await record_store.append([record(term=t, by=9, item=f"i{n}")])
-        assert record_store.batch_jobs["l"]["results"][0].head["item"] == item
+        assert record_store.batch_jobs["l"].results[0].head["item"] == item
 
     run(go())
 
@@ -145,7 +145,7 @@
         await record_store.append([record("L", by=4), record(pos=0, term=3, by=4)])
         again = RecordStore(wal, clock, Counters())
         again.load(wal.raws)
-        assert again.promised_terms == {"m": 4} and again.batch_jobs["l"]["results"][0].head["term"] == 3
+        assert again.promised_terms == {"m": 4} and again.batch_jobs["l"].results[0].head["term"] == 3
         third = RecordStore(wal, clock, Counters())
         third.load(again.snapshot())
         assert third.promised_terms == again.promised_terms and third.batch_jobs.keys() == again.batch_jobs.keys()
--- a/tests/jobs/test_quorum.py
+++ b/tests/jobs/test_quorum.py
@@ -33,6 +33,11 @@
     )
 
 
+def _holds_job(record_store, job_id):
+    stored = record_store.batch_jobs.get(job_id)
+    return stored is not None and stored.job is not None
+
+
 class Site:
     """Stores by place; what the control nodes agreed on; which places are dark."""
 
@@ -60,7 +65,7 @@
         return self.start(place, old.record_store.wal, old.id)
 
     def holders(self, job_id):
-        return [p for p, n in self.at.items() if n.record_store.batch_jobs.get(job_id, {}).get("lot")]
+        return [p for p, n in self.at.items() if _holds_job(n.record_store, job_id)]
 
     def to(self, address):
         return SimpleNamespace(call=lambda *a, **kwargs: self.call(address, *a, **kwargs))
@@ -290,8 +295,8 @@
     async def go():
         site = Site(clock, quorum_settings(Machines=f), n)
         leadership = await accepted(site, "p0")
-        leadership.store.proofs.clear()
-        leadership.store.hear([site.at[f"p{i}"].id for i in range(1, heard + 1)])
+        leadership.host.proofs.clear()
+        leadership.host.hear([site.at[f"p{i}"].id for i in range(1, heard + 1)])
         assert leadership.is_confirmed() is good and leadership.may_order() is good
         clock.at += 30  # what was said long ago proves nothing
         assert leadership.is_confirmed() is (f == 0) and leadership.may_order() is (f == 0)
@@ -311,10 +316,10 @@
         new = await site.at[f"p{n - 1}"].leadership(2)
         assert new.state == "holding"
         site.dark = set()
-        old.store.proofs.clear()
-        old.store.hear([site.at[p].id for p in unheard[1:]])
+        old.host.proofs.clear()
+        old.host.hear([site.at[p].id for p in unheard[1:]])
         assert not old.is_confirmed() and not old.may_order() and old.state == "holding"
-        old.store.hear([n.id for n in site.at.values()])
+        old.host.hear([n.id for n in site.at.values()])
         assert not old.is_confirmed() and not old.may_order()
         assert new.is_confirmed() and new.may_order()
 
@@ -337,8 +342,8 @@
         other = site.at["p1"]
         if who == "promised":
             await other.record_store.prepare("s", 9)
-        leadership.store.proofs.clear()
-        leadership.store.hear([other.id])
+        leadership.host.proofs.clear()
+        leadership.host.hear([other.id])
         if who == "leaving":
             site.value["stores"][other.id]["state"] = "leaving"
         if who == "gone":
@@ -378,7 +383,7 @@
     async def go():
         site = Site(clock, quorum_settings(Machines=1), 3)
         leadership = await site.at["p0"].leadership(1)
-        store, asked, gate = leadership.store, [], asyncio.Event()
+        store, asked, gate = leadership.host, [], asyncio.Event()
         slow = site.value["stores"][next(s for s in store.replicator.targets("l1", {store.id}))]["ip"]
         real = site.call
 
@@ -414,7 +419,7 @@
         site = Site(clock, quorum_settings(Machines=1), 4)
         leadership = await accepted(site, "p0")
         await leadership.repair()
-        assert len(site.holders("l")) == 2 and "mend.records" not in leadership.store.counters.counts
+        assert len(site.holders("l")) == 2 and "repair.records" not in leadership.host.counters.counts
         site.dark = {next(p for p in site.holders("l") if p != "p0")}
         await leadership.repair()
         assert len(site.holders("l")) == 3
@@ -442,22 +447,22 @@
     async def go():
         site = Site(clock, quorum_settings(Machines=1), 4)
         leadership = await accepted(site, "p0")
-        counters = leadership.store.counters.counts
+        counters = leadership.host.counters.counts
         await leadership.repair()
-        before = counters["mend.looked"], counters.get("mend.records", 0)
+        before = counters["repair.checked"], counters.get("repair.records", 0)
         change(site)
         for _ in range(3):
             await leadership.repair()
         # the lot and its result once in the walk, and what lacks copies once more to send it
-        assert (counters["mend.looked"] - before[0], counters.get("mend.records", 0) - before[1]) == (
+        assert (counters["repair.checked"] - before[0], counters.get("repair.records", 0) - before[1]) == (
             looked and 2 + sent,
             sent,
         )
-        assert not leadership.record_repair.thin
+        assert not leadership.record_repair.under_replicated
         await leadership.append_result(leadership.batch_jobs["l"], "i2", {})  # new records need no look
         await leadership.repair()
         assert (
-            counters["mend.looked"] - before[0] == (looked and 2 + sent)
+            counters["repair.checked"] - before[0] == (looked and 2 + sent)
             and leadership.batch_jobs["l"].listed_count == 2
         )
 
@@ -481,13 +486,15 @@
         old = site.at[gone].id
         site.wipe(gone)
         site.dark = {gone, spare}
-        leadership.store.alive = leadership.store.replicator.alive = lambda sid: True
+        leadership.host.alive = leadership.host.replicator.alive = lambda sid: True
         await leadership.repair()
-        assert len(leadership.record_repair.thin) == 2 and site.value["stores"][old]["state"] == "leaving"
+        assert len(leadership.record_repair.under_replicated) == 2 and site.value["stores"][old]["state"] == "leaving"
         if answers:
             site.dark = set()
             await leadership.repair()
-        assert (old not in site.value["stores"]) is answers and bool(leadership.record_repair.thin) is not answers
+        assert (old not in site.value["stores"]) is answers and bool(
+            leadership.record_repair.under_replicated
+        ) is not answers
 
     run(go())
 
@@ -508,7 +515,7 @@
 
         site.call = call
         await leadership.repair()
-        assert not leadership.record_repair.thin and len(calls) <= 4
+        assert not leadership.record_repair.under_replicated and len(calls) <= 4
 
     run(go())
 
@@ -617,7 +624,7 @@
     async def go():
         site = Site(clock, quorum_settings(Machines=1), 3)
         leadership = await accepted(site, "p0")
-        store = leadership.store
+        store = leadership.host
         store.proofs.clear()
         change(site)
         await store.ping("s1", "p1")
@@ -636,12 +643,12 @@
         site.dark = set()
         joined = site.start("p3", MemBook())
         joined.ready = False
-        old.store.proofs.clear()
-        await old.store.ping(joined.id, "p3")
+        old.host.proofs.clear()
+        await old.host.ping(joined.id, "p3")
         assert not old.is_confirmed() and not old.may_order()
         await joined.record_store.prepare("s", 2)  # what it reads of the terms when it joins
         joined.ready = True
-        await old.store.ping(joined.id, "p3")
+        await old.host.ping(joined.id, "p3")
         assert not old.is_confirmed() and not old.may_order()
 
     run(go())
--- a/tests/rollout_controller/test_leadership_term.py
+++ b/tests/rollout_controller/test_leadership_term.py
@@ -4,73 +4,12 @@
 
 import orjson
 import pytest
-from tests.support.fakes import MemBook
+from tests.support.leadership_rig import BOOT, FakeStore
 from tests.jobs.test_batch_job import LOT
 
-from archhatch.runtime import StateBoard, Counters, TaskGroup, open_logs
-from archhatch.runtime.settings import check_settings
 from archhatch.rollout_controller import LeadershipTerm
-from archhatch.jobs import DeposedError, Quorum, Record, RecordStore
-
-BOOT = check_settings({"NodeName": "n", "IpAddress": "1.1.1.1", "InternalPorts": [1, 9]})
-
-
-class FakeCopier:
-    def __init__(self, store):
-        self.store, self.puts, self.deposed = store, [], False
-        self.gate = asyncio.Event()  # copies arrive while it is set
-        self.gate.set()
-
-    def has_enough_copies(self, record):
-        return self.store.quorum.has_enough_copies(record.held, self.store.members())
-
-    async def replicate(self, run, term, records):
-        self.puts.append((term, records))
-        await self.gate.wait()
-        if self.deposed:
-            raise DeposedError(run)
-        for r in records:
-            r.held |= {"me", "b"}
-
-
-class FakeStore:
-    """A store whose neighbours are shelves in the same process."""
-
-    def __init__(self, clock, names=("me", "b", "c")):
-        self.id, self.clock, self.settings = "me", clock, BOOT
-        self.counters, self.state_board, self.log, self.heartbeat_interval_s = (
-            Counters(),
-            StateBoard(),
-            open_logs("t", "CRITICAL"),
-            0.01,
-        )
-        self.task_group = TaskGroup(self.log, self.counters)
-        self.shelves = {n: RecordStore(MemBook(), clock, Counters()) for n in names}
-        self.record_store, self.quorum = self.shelves["me"], Quorum.from_settings(BOOT)
-        self.replicator = FakeCopier(self)
-        self.config_watcher, self.silent, self.proof = self, set(), True
-
-    async def run_command(self, shard, name, args):
-        return 1000, {"stores": self.members(), "runs": {}}
-
-    def members(self):
-        return {n: {"ip": n, "state": "active", "zone": "z"} for n in self.shelves}
-
-    def addr_of(self, m):
-        return m["ip"]
-
-    def alive(self, sid):
-        return sid not in self.silent
-
-    def confirmed(self, run, term, timeout_s):
-        return self.proof
-
-    async def ask_store(self, sid, address, verb, doc):
-        return None if sid in self.silent else await self.shelves[sid].prepare(doc["run"], doc["term"])
-
-    async def fetch(self, sid, address, job_id, poss, batch_job):
-        records = self.shelves[sid].fetch(job_id, poss, batch_job)
-        return [Record(orjson.loads(orjson.dumps(r.head)), r.body) for r in records]
+from archhatch.jobs.run_report import RunReport
+from archhatch.jobs import DeposedError, Record
 
 
 def lot_rec():
@@ -202,7 +141,7 @@
         store.replicator.gate.set()
         while not good(leadership):
             turn = await store.state_board.wait_for_change(name, turn)
-        assert not leadership._copying
+        assert not leadership.copier.in_flight
 
     run(go())
 
@@ -258,7 +197,10 @@
 def test_how_old_a_note_of_an_order_is(clock, told, wait):
     store = FakeStore(clock)
     leadership = LeadershipTerm(store, "run", 5)
-    leadership.takeover.heed_orders(
-        [{"orders": {"i": age}, "noted": {"i": note} if note else {}, "tick": tick} for age, note, tick in told]
+    leadership.takeover.wait_out_orders(
+        [
+            RunReport.from_document({"orders": {"i": age}, "noted": {"i": note} if note else {}, "tick": tick})
+            for age, note, tick in told
+        ]
     )
     assert leadership.may_order_from["i"] - clock.now() == pytest.approx(wait * BOOT.seconds("LeaseMs") / 3.0)
--- a/tests/rollout_controller/test_load_concurrency.py
+++ b/tests/rollout_controller/test_load_concurrency.py
@@ -9,7 +9,7 @@
     r = LoadConcurrencyLimit(0.3)
     r.resize(engines)
     for took, at_once in samples:
-        r.note(took, at_once)
+        r.record_load(took, at_once)
     return r
 
 
@@ -29,11 +29,11 @@
 
 @pytest.mark.parametrize("engines, samples, least, most", ROOMS)
 def test_room(engines, samples, least, most):
-    assert least <= int(learnt(engines, samples).room) <= most
+    assert least <= int(learnt(engines, samples).limit) <= most
 
 
 def test_room_follows_the_engines():
     r = learnt(5, [])
-    assert r.may(1) and not r.may(2)
+    assert r.allows_another(1) and not r.allows_another(2)
     r.resize(60)
-    assert r.may(9) and not r.may(10)
+    assert r.allows_another(9) and not r.allows_another(10)
--- a/tests/rollout_controller/test_scoring.py
+++ b/tests/rollout_controller/test_scoring.py
@@ -114,11 +114,11 @@
         store, sc = setup(clock)
         tasks = [asyncio.ensure_future(sc.score(work(n), (False, 0, n))) for n in "abc"]
         await store.state_board.wait_for_change("nothing", 0, 0.001)
-        assert sc._place_one()
+        assert sc._assign_one()
         for t in tasks:
             t.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        assert store.load_balancer.all["i"].under_way == 0 and not sc._place_one() and sc.inbox == []
+        assert store.load_balancer.all["i"].under_way == 0 and not sc._assign_one() and sc.waiting == []
 
     run(go())
 
@@ -150,8 +150,8 @@
         assert await tasks[1] == "seal.b"
         tasks[0].cancel()
         await asyncio.wait([tasks[0]])
-        sc._place_one()
-        assert not sc.inbox and store.load_balancer.all["i"].under_way == 0
+        sc._assign_one()
+        assert not sc.waiting and store.load_balancer.all["i"].under_way == 0
         loop.cancel()
 
     run(go())
--- a/tests/rollout_controller/test_weight_orders.py
+++ b/tests/rollout_controller/test_weight_orders.py
@@ -12,7 +12,8 @@
 from archhatch.runtime.settings import check_settings
 from archhatch.upstream import NotSentError
 from archhatch.rollout_controller import Engines, WeightOrders
-from archhatch.rollout_controller.leadership_term import MOVES
+from archhatch.rollout_controller.leadership_term import TRANSITIONS
+from archhatch.rollout_controller.replica_orders import OrderOutcome, ReplicaReport
 
 BOOT = check_settings(
     {"NodeName": "n", "IpAddress": "1.1.1.1", "InternalPorts": [1, 9], "Bounds": {"LeaseMs": 300, "ContactMs": 300}}
@@ -124,10 +125,15 @@
     return store, store.leaderships["s"], WeightOrders(store)
 
 
+async def send(orders, leadership, engine, until):
+    request = orders.request_for(leadership, engine, "m", 2, "hold")
+    return await orders.client.send(leadership, engine, request, until)
+
+
 async def settle(orders):
     """Start what may start, until nothing is under way and nothing more starts."""
-    tasks = orders.store.tasks
-    while orders._start_one() or tasks:
+    tasks = orders.host.tasks
+    while orders._start_next() or tasks:
         await asyncio.gather(*tasks)
         tasks.clear()
 
@@ -181,10 +187,12 @@
         store, leadership, orders = setup(clock, rep)
         e = store.engines.all["e0"]
         e.count = count
-        await orders._send(leadership, "m", e, 2, "hold", clock.now() + 9)
+        await send(orders, leadership, e, clock.now() + 9)
         assert rep.orders[0].get("ExpectedCount") == count
         clock.at += age
-        orders._fold_report(e, {"Sequence": seq, "Utilization": busy, "ModelList": []}, clock.now())
+        orders.client.apply_report(
+            e, ReplicaReport.from_document({"Sequence": seq, "Utilization": busy, "ModelList": []}), clock.now()
+        )
         assert (e.unresolved_order_at is None, e.count) == (clear, after)
 
     run(go())
@@ -195,17 +203,17 @@
         rep = FakeReplica([(0, False)])
         store, leadership, orders = setup(clock, rep)
         e = store.engines.all["e0"]
-        assert (await orders._send(leadership, "m", e, 2, "hold", clock.now() + 9)).value == "maybe"
+        assert await send(orders, leadership, e, clock.now() + 9) is OrderOutcome.UNKNOWN
         rep.dark = True
         for _ in range(3):
             clock.at += 1.0
-            assert orders._start_one()
+            assert orders._start_next()
             await asyncio.gather(*store.tasks)
             store.tasks.clear()
-            assert not orders._start_one()  # it is left alone for a while
+            assert not orders._start_next()  # it is left alone for a while
         assert len(rep.orders) == 1 and rep.reports == 3 and store.counters.counts["order.still_unclear"] == 3
         rep.dark = False
-        assert await orders._cleared(e) and e.count == 0
+        assert await orders.client.is_resolved(e) and e.count == 0
 
     run(go())
 
@@ -221,10 +229,10 @@
             leadership.allowed = why != "deposed"
 
         rep.connecting = thaw
-        orders._start_one()
+        orders._start_next()
         await asyncio.gather(*store.tasks)
         assert rep.orders == [] and leadership.noted == ["e0"] and store.counters.counts["order.too_late"] == 1
-        assert store.engines.all["e0"].unresolved_order_at is None and orders.out == 0
+        assert store.engines.all["e0"].unresolved_order_at is None and orders.loading_count == 0
 
     run(go())
 
@@ -238,9 +246,9 @@
             leadership.allowed = False
         else:
             leadership.right_s = 0.0  # thawed after its note: the right to order has run out
-        orders._start_one()
+        orders._start_next()
         await asyncio.gather(*store.tasks)
-        assert rep.orders == [] and store.engines.all["e0"].held_models == set() and orders.out == 0
+        assert rep.orders == [] and store.engines.all["e0"].held_models == set() and orders.loading_count == 0
 
     run(go())
 
@@ -259,7 +267,7 @@
     store.leader.lacks_replicas = lambda r, m: short and m == "m"
     es = list(store.engines.all.values())
     got = 0
-    while orders._wanted(leadership, "m", es, 2) and got < n:
+    while orders._needs_another(leadership, "m", es, 2) and got < n:
         es[got].record_revision("m", 2)
         got += 1
     assert got == loaded
@@ -276,7 +284,9 @@
 @pytest.mark.parametrize("state, sign, dest", REIGN)
 def test_states_of_a_reign(state, sign, dest):
     model = SimpleNamespace()
-    Machine(model, states=["reading", "holding", "over"], initial=state, transitions=MOVES, auto_transitions=False)
+    Machine(
+        model, states=["reading", "holding", "over"], initial=state, transitions=TRANSITIONS, auto_transitions=False
+    )
     getattr(model, sign)()
     assert model.state == dest
 
@@ -286,6 +296,8 @@
     from transitions import MachineError
 
     model = SimpleNamespace()
-    Machine(model, states=["reading", "holding", "over"], initial=state, transitions=MOVES, auto_transitions=False)
+    Machine(
+        model, states=["reading", "holding", "over"], initial=state, transitions=TRANSITIONS, auto_transitions=False
+    )
     with pytest.raises(MachineError):
         model.gathered()
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -16,8 +16,9 @@
     return sum(
         1
         for s in w.stores.values()
-        if s.record_store.batch_jobs.get(job_id, {}).get("lot") is not None
-        and len(s.record_store.batch_jobs[job_id]["results"]) == total
+        if (stored := s.record_store.batch_jobs.get(job_id)) is not None
+        and stored.job is not None
+        and len(stored.results) == total
     )
 
 
--- a/tests/system/test_system.py
+++ b/tests/system/test_system.py
@@ -56,7 +56,11 @@
         assert r["OperState"] == "complete" and r["WeightVersions"] == [1] and r["Score"] == f"seal.c-{r['InstanceId']}"
         assert r["Text"] == "\n".join(f"{r['InstanceId']}/{n}" for n in (1, 2, 3, 4))
     assert rows == await w.read_all("lot1")
-    held = [s for s in w.stores.values() if len(s.record_store.batch_jobs.get("lot1", {"results": {}})["results"]) == 4]
+    held = [
+        s
+        for s in w.stores.values()
+        if len((s.record_store.batch_jobs["lot1"].results if "lot1" in s.record_store.batch_jobs else {})) == 4
+    ]
     assert len(held) >= 2
 
 
