--- a/archhatch/capacity/probes/control.py
+++ b/archhatch/capacity/probes/control.py
@@ -129,7 +129,10 @@
 async def _take(n):
     here, there = core(0), core(n)
     there.id = here.id  # the card of the same node: no second ping loop is begun
-    here.peers.merge_ping(orjson.loads(orjson.dumps(there.peers.ping_document(OTHER))))  # the whole entries
+    ping = need("control.messages", "Ping", "from_document")
+    here.peers.merge_ping(
+        ping.from_document(orjson.loads(orjson.dumps(there.peers.ping_document(OTHER))))
+    )  # the whole entries
     there.peers.reports[OTHER] = need("control.peers", "PeerReport")("x", there.registry.heartbeat_version)
     raws = []
     for k in range(5):
@@ -139,7 +142,7 @@
 
     def function():
         for raw in raws:
-            if here.peers.merge_ping(orjson.loads(raw)):
+            if here.peers.merge_ping(ping.from_document(orjson.loads(raw))):
                 raise ValueError("a beat told in short was not known")
 
     yield function, 5
--- a/archhatch/control/admin_api.py
+++ b/archhatch/control/admin_api.py
@@ -4,10 +4,10 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from ..consensus import is_majority
-from ..membership import shard_of
+from ..membership import ReplicaEntry, shard_of
 from ..rpc import CallRefusedError
 from ..runtime import error_result, json_result
 from ..singleton_roles.admin import SingletonRoleAdmin
@@ -116,9 +116,9 @@
     async def record_heartbeat(self, request: HeartbeatRequest) -> Result:
         """Records a heartbeat; `draining` is acknowledged once a majority of the control nodes knows of it."""
         node, entry = self.node, request.entry
-        turn = node.registry.version
+        version = node.registry.version
         node.registry.record_heartbeat(entry, node.clock.now())
-        if node.registry.version != turn:
+        if node.registry.version != version:
             node.state_board.notify("news")
         if entry["state"] == "draining":
             await self._push_to_majority(entry)
@@ -127,21 +127,23 @@
     async def deregister(self, request: DeregisterRequest) -> Result:
         """Marks a replica as gone; acknowledged once a majority of the control nodes knows of it."""
         node = self.node
-        last = node.registry.replicas.get(request.replica_id) or _unknown_replica(request.replica_id)
-        entry = {**last, "state": "gone", "seq": last["seq"] + 1}
+        last: Any = node.registry.replicas.get(request.replica_id) or _unknown_replica(request.replica_id)
+        entry = cast(ReplicaEntry, {**last, "state": "gone", "seq": last["seq"] + 1})
         node.registry.record_heartbeat(entry, node.clock.now())
         node.state_board.notify("news")
         await self._push_to_majority(entry)
         return json_result(DONE, {})
 
-    async def _push_to_majority(self, entry: dict) -> None:
+    async def _push_to_majority(self, entry: ReplicaEntry) -> None:
         """Sends a replica's entry to all control nodes at once.
 
         Raises:
             CallRefusedError: NO_MAJORITY, if no majority of the group has taken it up.
         """
         node = self.node
-        voters = node.registers.group(PLAN)["voters"]
+        group = node.registers.group(PLAN)
+        assert group is not None  # a node that knows no group does not serve
+        voters = group["voters"]
         pushed = {key: value for key, value in entry.items() if key != "silent"}
         document = {"roll": [{**pushed, "age": 0.0}]}
         calls = [
@@ -197,7 +199,7 @@
         args = {
             "node": request.machine,
             "quorum": self.node.quorum.to_document(),
-            "seen": self.node.registers.version(PLAN),
+            "seen": self.node.registers.chosen_version(PLAN),
         }
         return await self._run(PLAN, command, args)
 
--- a/archhatch/control/api_requests.py
+++ b/archhatch/control/api_requests.py
@@ -12,6 +12,7 @@
 
 from ..evacuation.plans import InvalidPlanError, read_plan
 from ..exceptions import ArchhatchError
+from ..membership import ReplicaEntry
 from . import result_codes
 
 MAX_REVISION = 2**53 - 1  # the largest integer that every JSON reader keeps exactly
@@ -86,7 +87,7 @@
         entry: The replica as the registry and the feed keep it; a dictionary, as it goes on to both unchanged.
     """
 
-    entry: dict
+    entry: ReplicaEntry
 
 
 @dataclass(frozen=True, slots=True)
@@ -310,8 +311,7 @@
     document = _read_object(body, InvalidConfigRequestError)
     expected_revision = _read_if_match(headers)
     revision = document.get("Revision")
-    is_integer = isinstance(revision, int) and not isinstance(revision, bool)
-    if not is_integer or not 0 < revision <= MAX_REVISION:
+    if isinstance(revision, bool) or not isinstance(revision, int) or not 0 < revision <= MAX_REVISION:
         raise InvalidConfigRequestError(f"Revision: is missing or no number from 1 to {MAX_REVISION}")
     return ChangeConfigRequest(kind, document, expected_revision)
 
--- a/archhatch/control/feed.py
+++ b/archhatch/control/feed.py
@@ -1,66 +1,132 @@
-"""The configuration feed: data-plane nodes and stores ask with the versions that they have, and are answered when there
-is more. A reader that has a version of which the later changes are known here gets these; any other gets the whole."""
+"""The configuration feed: data-plane nodes and stores ask with the versions that they have.
+
+They are answered when there is more. A reader that has a version of which the later changes are known here gets these;
+any other gets the whole value.
+"""
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING, Protocol
+
 import orjson
 
-from ..runtime import encode_kept
 from ..rpc import CallRefusedError
+from ..runtime import encode_kept
+from . import topics
 from .history import RegisterHistory
 from .registers import feed_view
+from .result_codes import NO_MAJORITY
 
-UNREACHED = 3003
+if TYPE_CHECKING:
+    from ..membership import LiveRequests, PeerSet, ReplicaRegistry
+    from ..membership.agreed_time import AgreedTime
+    from ..region_policy.region_monitor import RegionMonitor
+    from ..runtime import Clock, Counters, StateBoard
+    from .agreement import Registers
+    from .messages import FeedQuestion
+    from .peers import Peers
 
+STORE = "store"  # the kind of node whose questions count as its signs of life
+MAX_WAIT_SHARE = 0.5  # of quiet_s: a waiting question looks so often whether this node may still serve
 
-class ConfigFeed:
-    """Answers long polls with bytes that all askers of the same turn share.
 
-    >>> # feed = ConfigFeed(node); raw = await feed.answer(doc)
+class FeedHost(Protocol):
+    """What the feed uses of its control node.
+
+    Attributes:
+        id: The node's id.
+        address: Where it takes calls.
+        incarnation: The incarnation of its process.
+        leaving: Whether it is about to end.
+        quiet_s: After this many seconds without an answer a node counts as unreachable.
     """
 
-    def __init__(self, node):
+    id: str
+    address: str
+    incarnation: str
+    leaving: bool
+    quiet_s: float
+    clock: Clock
+    counters: Counters
+    state_board: StateBoard
+    registry: ReplicaRegistry
+    registers: Registers
+    cores: PeerSet
+    stores: PeerSet
+    live: LiveRequests
+    agreed_time: AgreedTime
+    peers: Peers
+    regions: RegionMonitor
+
+    def check_serving(self) -> bool:
+        """Returns whether the node may answer callers."""
+
+    def available(self, node_id: str) -> bool:
+        """Returns whether a control node is up and about to stay."""
+
+
+class ConfigFeed:
+    """Answers long polls with bytes that all askers with the same versions share."""
+
+    def __init__(self, node: FeedHost) -> None:
         self.node = node
         self._histories: dict[str, RegisterHistory] = {}
-        self._part_bytes: dict[tuple, orjson.Fragment] = {}  # (register, the reader's version) -> what it is sent
-        self._roll_bytes: dict = {}
+        self._encoded_shards: dict[tuple[str, int | None], orjson.Fragment] = {}  # (register, the reader's version)
+        self._encoded_registry: dict[int, orjson.Fragment] = {}  # by the reader's version
+        self._encoded_registry_version = -1  # the version of the registry that these bytes are of; none yet
+
+    async def answer(self, question: FeedQuestion) -> bytes:
+        """Answers a node, at once or when there is something new.
+
+        Args:
+            question: The decoded question.
 
-    async def answer(self, doc: dict) -> bytes:
-        """Answer a node, at once or when there is news. Raises 3003 while this node may not serve: the asker is to go
-        to another one."""
+        Returns:
+            The encoded answer.
+
+        Raises:
+            CallRefusedError: NO_MAJORITY, while this node may not serve; the asker is to go to another one.
+        """
         node, now = self.node, self.node.clock.now()
-        if doc["who"]["klass"] == "store":
-            node.stores.record_contact(doc["who"], now)
-        node.peers.merge_live_requests(doc["who"]["id"], doc["live"])
-        node.regions.heed(doc.get("served", ()))
-        end = now + doc["hold"]
+        if question["who"]["klass"] == STORE:
+            node.stores.record_contact(question["who"], now)
+        node.peers.merge_live_requests(question["who"]["id"], question["live"])
+        node.regions.heed(question.get("served", []))
+        end = now + question["hold"]
         while True:
             if node.leaving or not node.check_serving():
-                raise CallRefusedError(UNREACHED)
-            turn = node.state_board.version("news")
-            left = end - node.clock.now()
-            news = self._news(doc, left <= 0)
-            if news is not None:
-                return news
-            await node.state_board.wait_for_change("news", turn, min(left, node.quiet_s / 2))
-
-    def _news(self, doc: dict, due: bool) -> bytes | None:
-        """The answer, if there is something new or it is due."""
+                raise CallRefusedError(NO_MAJORITY)
+            version = node.state_board.version(topics.FEED)
+            remaining_s = end - node.clock.now()
+            answer = self._answer_if_due(question, is_due=remaining_s <= 0)
+            if answer is not None:
+                return answer
+            await node.state_board.wait_for_change(
+                topics.FEED, version, min(remaining_s, node.quiet_s * MAX_WAIT_SHARE)
+            )
+
+    def _answer_if_due(self, question: FeedQuestion, is_due: bool) -> bytes | None:
+        """Returns the answer if there is something new or the question has waited long enough, else None."""
         node = self.node
-        known, same = node.registers.known, doc["life"] == node.incarnation
-        after = doc["turn"] if same else 0
-        shards = {p: doc["stamps"].get(p) for p, s in known.items() if s["stamp"] > doc["stamps"].get(p, 0)}
+        is_same_source = question["life"] == node.incarnation
+        after_version = question["turn"] if is_same_source else 0
+        held_versions = question["stamps"]
+        outdated_shards = {
+            shard: held_versions.get(shard)
+            for shard, state in node.registers.known.items()
+            if state["stamp"] > held_versions.get(shard, 0)
+        }
         busy = node.live.totals(node.clock.now())
-        if not (due or shards or node.registry.version > after or not same or sorted(busy) != doc["busy"]):
+        has_new_state = bool(outdated_shards) or node.registry.version > after_version or not is_same_source
+        if not (is_due or has_new_state or sorted(busy) != question["busy"]):
             return None
-        cores = [node.address] + [c["addr"] for i, c in node.cores.cards.items() if node.available(i)]
         return orjson.dumps(
             {
-                "parts": {shard: self.shard(shard, base) for shard, base in shards.items()},
-                "roll": self.registry(after),
+                "parts": {shard: self.encoded_shard(shard, held) for shard, held in outdated_shards.items()},
+                "roll": self.encoded_registry(after_version),
                 "life": node.incarnation,
                 "turn": node.registry.version,
-                "cores": cores,
+                "cores": self._control_node_addresses(),
                 "busy": busy,
                 "id": node.id,
                 "newest": node.registers.chosen,
@@ -68,33 +134,47 @@
             }
         )
 
-    def shard(self, shard: str, base: int | None) -> orjson.Fragment:
-        """What brings a reader from its version of a register, if it has one, to the newest; made once for all that
-        have the same."""
+    def _control_node_addresses(self) -> list[str]:
+        node = self.node
+        return [node.address] + [card["addr"] for key, card in node.cores.cards.items() if node.available(key)]
+
+    def encoded_shard(self, shard: str, held_version: int | None) -> orjson.Fragment:
+        """Returns what brings a reader to the newest version of a register; made once for all with the same version.
+
+        Args:
+            shard: The register.
+            held_version: The version that the reader has, None if it has none.
+
+        Returns:
+            The encoded changes, or the encoded whole value if not all changes are known here.
+        """
         state = self.node.registers.known[shard]
         history = self._histories.setdefault(shard, RegisterHistory())
         if history.version != state["stamp"]:
             history.add(state["stamp"], feed_view(shard, state["val"]))
-            self._part_bytes = {key: raw for key, raw in self._part_bytes.items() if key[0] != shard}
-        have = self._part_bytes.get((shard, base))
-        if have is None:
-            have = self._part_bytes[shard, base] = self._encode(history, base)
-        return have
-
-    def _encode(self, history: RegisterHistory, base: int | None) -> orjson.Fragment:
-        changes = None if base is None else history.changes_since(base)
-        doc = {"stamp": history.version, "val": history.encoded_value}
+            self._encoded_shards = {key: raw for key, raw in self._encoded_shards.items() if key[0] != shard}
+        encoded = self._encoded_shards.get((shard, held_version))
+        if encoded is None:
+            encoded = self._encoded_shards[shard, held_version] = self._encode_shard(history, held_version)
+        return encoded
+
+    def _encode_shard(self, history: RegisterHistory, held_version: int | None) -> orjson.Fragment:
+        changes = None if held_version is None else history.changes_since(held_version)
+        document: dict = {"stamp": history.version, "val": history.encoded_value}
         if changes is not None:
             self.node.counters.add("feed.changes")
-            doc = {"stamp": history.version, "base": base, "changes": [orjson.Fragment(raw) for raw in changes]}
-        return orjson.Fragment(encode_kept(doc))
-
-    def registry(self, after: int) -> orjson.Fragment:
-        """The registry's changes after a turn; made once for all who ask with the same turn."""
-        turn = self.node.registry.version
-        if self._roll_bytes.get("turn") != turn:
-            self._roll_bytes = {"turn": turn}
-        have = self._roll_bytes.get(after)
-        if have is None:
-            have = self._roll_bytes[after] = orjson.Fragment(encode_kept(self.node.registry.changes_since(after)))
-        return have
+            fragments = [orjson.Fragment(raw) for raw in changes]
+            document = {"stamp": history.version, "base": held_version, "changes": fragments}
+        return orjson.Fragment(encode_kept(document))
+
+    def encoded_registry(self, after_version: int) -> orjson.Fragment:
+        """Returns the registry's changes after a version, encoded; made once for all who ask with the same version."""
+        version = self.node.registry.version
+        if self._encoded_registry_version != version:
+            self._encoded_registry_version = version
+            self._encoded_registry = {}
+        encoded = self._encoded_registry.get(after_version)
+        if encoded is None:
+            encoded = orjson.Fragment(encode_kept(self.node.registry.changes_since(after_version)))
+            self._encoded_registry[after_version] = encoded
+        return encoded
--- a/archhatch/control/node.py
+++ b/archhatch/control/node.py
@@ -4,42 +4,79 @@
 
 import asyncio
 import random
+from typing import TYPE_CHECKING, Any
 
-from ..region_policy.region_monitor import RegionMonitor
-from ..jobs import Quorum
+from ..evacuation.controller import EvacuationController
 from ..http_server import HttpServer
-from ..membership import LiveRequests, PeerSet, ReplicaRegistry
+from ..jobs import Quorum
+from ..membership import LiveRequests, NodeCard, PeerSet, ReplicaRegistry
 from ..membership.agreed_time import AgreedTime
-from ..evacuation.controller import EvacuationController
-from ..runtime import StateBoard, Clock, Counters, TaskGroup
+from ..region_policy.region_monitor import RegionMonitor
 from ..rpc import CallError, CallRefusedError, TcpNetwork
+from ..runtime import Clock, Counters, Settings, StateBoard, TaskGroup
 from ..wal import WriteAheadLog
+from . import topics
 from .admin_api import AdminApi
 from .agreement import Registers
 from .contact import MajorityContact, ServingGate
 from .feed import ConfigFeed
+from .group_maintenance import GroupMaintainer
 from .handlers import register_handlers
 from .peers import Peers
-from .registers import SHARDS, PLAN
+from .registers import PLAN, SHARDS
+from .result_codes import DONE, NO_MAJORITY
 from .store_membership import StoreMembershipController
 
-PING = 1 / 15  # of ContactMs: the pause between pings
-SILENT = 0.25  # of ContactMs: a node silent for so long is not counted on; proofs of contact are no older
-SETTLED_PINGS = 3  # pauses between pings after a start until the silence of others says something
-HURRY = 0.2  # of the usual pause between looks, while some register is still unknown
-SWEEP_PINGS = 2  # pauses between pings from one look at silent replicas to the next
-SILENT_BEATS = 2.5  # heartbeats that a replica may miss
-STORE_STEP = 0.5  # pauses between pings: a store's signs of life that come closer are not each told to other nodes
-LEAVE = 0.25  # of GraceS: how long a node that ends waits for its place in the groups to be taken
+if TYPE_CHECKING:
+    from ..rpc.network import Network
+
+DEFAULT_DATA_DIR = "/tmp/archhatch"
+LOG_NAME = "core"  # of the write-ahead log's files
+BYTES_PER_MB = 1_000_000
+INCARNATION_BITS = 48
+NODE_ID_BITS = 64
+MS_PER_S = 1000
+
+PING_INTERVAL_SHARE = 1 / 15  # of ContactMs: the pause between pings
+UNREACHABLE_SHARE = 0.25  # of ContactMs: a node silent for so long is not counted on; proofs of contact are no older
+LIVE_REQUESTS_SHARE = 2 / 3  # of ContactMs: for so long reported live requests count
+LEAVE_SHARE = 0.25  # of GraceS: how long a node that ends waits for its place in the groups to be taken
+
+# in pauses between pings
+SETTLE_PINGS = 3  # after a start, until the silence of others says something
+SWEEP_PINGS = 2  # from one look at silent replicas to the next
+STORE_SIGHTING_PINGS = 0.5  # sightings of a store that come closer are not each reported to other nodes
+
+MAINTENANCE_JITTER = (1.0, 1.6)  # of the pause between looks at the registers, so that nodes do not run in step
+UNKNOWN_REGISTER_HURRY = 0.2  # of that pause, while some register is still unknown, as after a start
+MISSED_HEARTBEATS = 2.5  # heartbeats that a replica may miss
 
 
 class ControlNode:
     """Everything a control node does, put together.
 
-    >>> # node = ControlNode(settings, log); await node.start(); await node.leave()
+    Attributes:
+        id: The node's id; empty until start() has read or made it.
+        incarnation: Identifies this life of the process.
+        address: Where it takes calls of other nodes, IP:PORT.
+        heartbeat_interval_s: The interval between pings of other control nodes.
+        quiet_s: After this many seconds without an answer a node counts as unreachable.
+        started: When the node started, or last stood still, on the steady clock.
+        leaving: Whether it is about to end.
+        cores: The other control nodes.
+        stores: The stores that it or another control node has heard.
+        live: Live requests by service, as reported by edges.
     """
 
-    def __init__(self, settings, log, clock=None, network=None, files=None, disk_worker=None):
+    def __init__(  # noqa: PLR0913 - the simulation brings its own clock, network and disk
+        self,
+        settings: Settings,
+        log: Any,  # noqa: ANN401 - loguru's logger, or a stand-in
+        clock: Clock | None = None,
+        network: Network | None = None,
+        files: Any = None,  # noqa: ANN401 - wal's files
+        disk_worker: Any = None,  # noqa: ANN401 - wal's worker
+    ) -> None:
         self.settings, self.log = settings, log
         self.clock = clock or Clock()
         self.counters = Counters()
@@ -48,31 +85,32 @@
         network = network or TcpNetwork()
         self.connections = network.pool(self.counters)
         self.wal = WriteAheadLog(
-            settings.data_dir or "/tmp/archhatch",
-            "core",
+            settings.data_dir or DEFAULT_DATA_DIR,
+            LOG_NAME,
             log,
             files,
             clock=self.clock,
             counters=self.counters,
             worker=disk_worker,
-            limit_bytes=settings.disk_mb * 1_000_000,
+            limit_bytes=settings.disk_mb * BYTES_PER_MB,
         )
         self.id = ""
-        self.incarnation = f"{random.getrandbits(48):012x}"
+        self.incarnation = f"{random.getrandbits(INCARNATION_BITS):012x}"
         self.address = f"{settings.ip_address}:{settings.internal_ports[0]}"
-        self.heartbeat_interval_s = settings.seconds("ContactMs", PING)
-        self.quiet_s = settings.seconds("ContactMs", SILENT)
+        self.heartbeat_interval_s = settings.seconds("ContactMs", PING_INTERVAL_SHARE)
+        self.quiet_s = settings.seconds("ContactMs", UNREACHABLE_SHARE)
         self.started = self.clock.now()
         self.leaving = False
         self.registry = ReplicaRegistry()
         self.cores = PeerSet()
-        self.stores = PeerSet(step_s=self.heartbeat_interval_s * STORE_STEP)
-        self.live = LiveRequests(settings.seconds("ContactMs", 2 / 3))
+        self.stores = PeerSet(step_s=self.heartbeat_interval_s * STORE_SIGHTING_PINGS)
+        self.live = LiveRequests(settings.seconds("ContactMs", LIVE_REQUESTS_SHARE))
         self.quorum = Quorum.from_settings(settings)
         self.agreed_time = AgreedTime()
         self.contact = MajorityContact(self.quiet_s)
         self.gate = ServingGate(self.quiet_s)
         self.registers = Registers(self)
+        self.groups = GroupMaintainer(self, self.registers)
         self.peers = Peers(self)
         self.feed = ConfigFeed(self)
         self.store_membership = StoreMembershipController(self)
@@ -83,63 +121,67 @@
         self.desk = network.server(self.verbs, log, self.counters, lambda: self.id)
         self.window = HttpServer(self.admin_api.answer, log, self.counters)
 
-    # -- life
+    # -- start and end
 
     async def start(self) -> None:
-        """Read the log, found or join the group, and listen."""
+        """Reads the log, founds or joins the group, and listens."""
         self.wal.snapshot = self.registers.snapshot
         self.registers.load(self.wal, self.wal.load())
         self.wal.start()
         if not self.id:
-            await self._found()
+            await self._make_identity()
         self.registers.start()
         await self.desk.open(self.address)
         await self.window.open(self.settings.bindings["ControlPlane"])
         self.peers.start()
         self.task_group.run_forever("sweep", self._sweep_loop)
-        self.task_group.run_forever("tend", self._tend_loop)
+        self.task_group.run_forever("maintenance", self._maintenance_loop)
         self.task_group.run_forever("rewrite", self._rewrite_loop)
         self.task_group.run_forever("regions", self.regions.run)
         self.task_group.run_forever("evacuation", self.evacuations.run)
-        founder = bool(self.registers.founders)
-        self.log.info("control node {} is up; founder={} records={}", self.id, founder, self.wal.size)
-
-    async def _found(self) -> None:
-        """A first start on an empty disk: the seeds found the group, others get an id by chance and join."""
-        ips = [s.rsplit(":", 1)[0] for s in self.settings.seed_peers]
-        if self.settings.is_bootstrap and self.settings.ip_address in ips:
-            self.id = f"f-{self.settings.ip_address}"
-            self.registers.founders = {f"f-{ip}": f"{ip}:{self.settings.internal_ports[0]}" for ip in ips}
+        is_founder = bool(self.registers.founders)
+        self.log.info("control node {} is up: founder={} log_bytes={}", self.id, is_founder, self.wal.size)
+
+    async def _make_identity(self) -> None:
+        """Gives the node its id on a first start on an empty disk.
+
+        The seeds found the group under ids that all of them know; any other node takes a random id and joins.
+        """
+        settings = self.settings
+        seed_ips = [seed.rsplit(":", 1)[0] for seed in settings.seed_peers]
+        if settings.is_bootstrap and settings.ip_address in seed_ips:
+            self.id = f"f-{settings.ip_address}"
+            self.registers.founders = {f"f-{ip}": f"{ip}:{settings.internal_ports[0]}" for ip in seed_ips}
         else:
-            self.id = f"n-{random.getrandbits(64):016x}"
+            self.id = f"n-{random.getrandbits(NODE_ID_BITS):016x}"
         await self.wal.append(self.registers.identity())
 
     async def leave(self) -> None:
-        """End in order: another takes this node's work and, where one stands by, its place in the groups."""
+        """Ends in order: another node takes this one's work and, where a spare stands by, its place in the groups."""
         self.leaving = True
-        self.state_board.notify("news")  # who waits for news is sent on to another node
+        self.state_board.notify(topics.FEED)  # whoever waits for the feed is sent on to another node
         self.peers.announce()
-        end = self.clock.now() + self.settings.seconds("GraceS", LEAVE)
+        end = self.clock.now() + self.settings.seconds("GraceS", LEAVE_SHARE)
         await asyncio.sleep(self.heartbeat_interval_s)
-        while self.clock.now() < end and self.registers.needed_for_leaving():
+        while self.clock.now() < end and self.groups.is_needed_for_leaving():
             await asyncio.sleep(self.heartbeat_interval_s)
         self.window.leaving = True
-        await self.window.close(self.settings.seconds("GraceS", LEAVE))
+        await self.window.close(self.settings.seconds("GraceS", LEAVE_SHARE))
         await self.task_group.cancel_all()
         await self.desk.close()
         self.connections.end()
         await self.wal.close()
         self.log.info("counters {}", self.counters.summary())
 
-    # -- what is seen
+    # -- what is known
 
     @property
-    def known(self) -> dict:
+    def known(self) -> dict[str, dict]:
         """The newest state of each register that is known to be chosen."""
         return self.registers.known
 
-    def card(self) -> dict:
-        """What others keep of this node."""
+    def card(self) -> NodeCard:
+        """Returns what others keep of this node."""
         return {
             "id": self.id,
             "ip": self.settings.ip_address,
@@ -149,114 +191,140 @@
         }
 
     def alive(self, node_id: str) -> bool:
-        """Whether a control node was heard lately."""
+        """Returns whether a control node was heard lately."""
         return node_id == self.id or self.cores.silence_s(node_id, self.clock.now()) < self.quiet_s
 
     def available(self, node_id: str) -> bool:
-        """Whether a control node is up and about to stay."""
+        """Returns whether a control node is up and about to stay."""
         if node_id == self.id:
             return not self.leaving
         return self.alive(node_id) and node_id not in self.peers.leaving
 
-    def disk_takes(self) -> bool:
-        """Whether this node's log takes records: the last write went through, and none has waited for long."""
+    def is_disk_healthy(self) -> bool:
+        """Returns whether this node's log takes records: the last write succeeded, and none has waited for long."""
         return self.wal.is_healthy and self.wal.oldest_write_age_s(self.clock.now()) < self.quiet_s
 
     def has_majority_contact(self) -> bool:
-        """Whether a majority of the configuration's group answered this node within the bound."""
+        """Returns whether a majority of the plan register's group answered this node within the bound."""
         group = self.registers.group(PLAN)
         return group is not None and self.contact.has_majority(self.id, group, self.clock.now())
 
     def check_serving(self) -> bool:
-        """Whether this node may answer callers: in touch, and as new as what that majority holds."""
+        """Moves the serving gate by what is known now.
+
+        Returns:
+            Whether this node may answer callers: in contact with a majority, and as new as what that majority holds.
+        """
         return self.gate.update(self.has_majority_contact(), self.registers.behind(), self.clock.now())
 
     def condition(self) -> dict:
-        """What the doctor asks for."""
-        now, base = self.clock.now(), self.registers.group(PLAN)
-        voters = base["voters"] if base else {}
-        silent = {
-            r: now - self.registry.last_heard[r]
-            for r, e in self.registry.replicas.items()
-            if e.get("silent") and e["state"] != "gone"
+        """Returns what the doctor asks for."""
+        now, group = self.clock.now(), self.registers.group(PLAN)
+        voters = group["voters"] if group else {}
+        silent_s = {
+            replica_id: now - self.registry.last_heard[replica_id]
+            for replica_id, entry in self.registry.replicas.items()
+            if entry.get("silent") and entry["state"] != "gone"
         }
         return {
             "id": self.id,
             "in_touch": self.has_majority_contact(),
             "serving": self.check_serving(),
             "voters": len(voters),
-            "least_voters": self.registers.size.minimum,
-            "up": sum(1 for v in voters if v == self.id or self.contact.has_contact(v, now)),
+            "least_voters": self.groups.size.minimum,
+            "up": sum(1 for voter in voters if voter == self.id or self.contact.has_contact(voter, now)),
             "damaged": self.wal.is_damaged,
-            "stamps": self.registers.versions(),
-            "silent": silent,
+            "stamps": self.registers.chosen_versions(),
+            "silent": silent_s,
         }
 
     # -- calls to other control nodes
 
-    async def call(self, address, verb, doc, timeout_s=None, to=None):
-        """The document of an answer; None if there is none, or a refusal."""
+    async def call(
+        self,
+        address: str,
+        verb: str,
+        document: dict,
+        timeout_s: float | None = None,
+        to: str | None = None,
+    ) -> Any:  # noqa: ANN401 - any JSON
+        """Calls another node.
+
+        Args:
+            address: Where it takes calls.
+            verb: The call.
+            document: Its JSON object.
+            timeout_s: How long to wait for the answer; quiet_s if left out.
+            to: The id of the node that is meant; another one at the address refuses.
+
+        Returns:
+            The document of the answer; None if there is none, or a refusal.
+        """
         try:
-            code, out, _ = await self.connections.to(address).call(
-                verb, doc, timeout_s=timeout_s or self.quiet_s, to=to or ""
+            code, answer, _ = await self.connections.to(address).call(
+                verb, document, timeout_s=timeout_s or self.quiet_s, to=to or ""
             )
         except CallError:
             return None
-        return out if code == 1000 else None
+        return answer if code == DONE else None
 
-    async def ask(self, address, verb, doc):
-        """A proposer's question to a voter, this node among them."""
+    async def ask(self, address: str, verb: str, document: dict) -> Any:  # noqa: ANN401 - any JSON
+        """Puts a proposer's question to a voter, this node among them."""
         if address == self.address:
-            return await self.verbs.table[verb](doc, b"")
-        return await self.call(address, verb, doc)
+            return await self.verbs.table[verb](document, b"")
+        return await self.call(address, verb, document)
 
-    async def run_command(self, shard: str, name: str, args: dict):
-        """Run a command on a register: (code, document). CallRefusedError 3003 if the outcome is unclear."""
-        return await self.registers.run(shard, name, args)
+    async def try_command(self, shard: str, name: str, args: dict) -> tuple[int, Any]:
+        """Runs a command of a background task, which comes round again if no majority answers now.
 
-    async def try_command(self, shard: str, name: str, args: dict):
-        """Run a command of a duty, which comes round again if no majority answers now: (code, document)."""
+        Returns:
+            The code and the document; NO_MAJORITY if the outcome is unclear.
+        """
         try:
             return await self.registers.run(shard, name, args)
         except CallRefusedError:
-            self.counters.add("duty.put_off")
-            return 3003, None
+            self.counters.add("background_command.deferred")
+            return NO_MAJORITY, None
 
     def owns(self, shard: str) -> bool:
-        """Whether this node is the one to run a register's commands, as far as it knows."""
+        """Returns whether this node is the one to run a register's commands, as far as it knows."""
         return self.registers.owns(shard)
 
     # -- loops
 
     async def _sweep_loop(self) -> None:
+        silent_after_s = self.settings.heartbeat_interval_ms / MS_PER_S * MISSED_HEARTBEATS
         while True:
             await asyncio.sleep(self.heartbeat_interval_s * SWEEP_PINGS)
-            if self.registry.sweep(self.clock.now(), self.settings.heartbeat_interval_ms / 1000 * SILENT_BEATS):
-                self.state_board.notify("news")
+            if self.registry.sweep(self.clock.now(), silent_after_s):
+                self.state_board.notify(topics.FEED)
 
     async def _rewrite_loop(self) -> None:
         while True:
             await asyncio.sleep(self.quiet_s)
             await self.registers.rewrite_if_long()
 
-    async def _tend_loop(self) -> None:
-        turn = 0
+    async def _maintenance_loop(self) -> None:
+        version = 0
         while True:
             before = self.clock.now()
             # while a register is still unknown, as after a start, each moment counts
-            hurry = 1.0 if len(self.known) == len(SHARDS) else HURRY
-            turn = await self.state_board.wait_for_change(
-                "tend", turn, self.heartbeat_interval_s * random.uniform(1.0, 1.6) * hurry
-            )
+            hurry = 1.0 if len(self.known) == len(SHARDS) else UNKNOWN_REGISTER_HURRY
+            pause_s = self.heartbeat_interval_s * random.uniform(*MAINTENANCE_JITTER) * hurry
+            version = await self.state_board.wait_for_change(topics.MAINTENANCE, version, pause_s)
             if self.clock.now() - before > self.quiet_s:
-                self.started = self.clock.now()  # this node stood still: what it heard long ago says nothing
-                self.counters.add("woke")
-            self.peers.note_disk_health(self.id, self.disk_takes())
-            if not self.has_majority_contact():
-                continue
-            settled = self.clock.now() - self.started >= self.heartbeat_interval_s * SETTLED_PINGS
-            for shard in SHARDS:
-                if self.owns(shard) or self.registers.overdue(shard):
-                    await self.registers.tend(shard, settled)
-            if settled and self.check_serving():
-                await self.store_membership.tend()
+                # this node stood still: what it heard before that says nothing about the others
+                self.started = self.clock.now()
+                self.counters.add("node.stood_still")
+            self.peers.note_disk_health(self.id, self.is_disk_healthy())
+            if self.has_majority_contact():
+                await self._maintain()
+
+    async def _maintain(self) -> None:
+        """Looks at all registers and stores once."""
+        can_judge_peers = self.clock.now() - self.started >= self.heartbeat_interval_s * SETTLE_PINGS
+        for shard in SHARDS:
+            if self.owns(shard) or self.groups.update_overdue(shard):
+                await self.groups.maintain(shard, can_judge_peers)
+        if can_judge_peers and self.check_serving():
+            await self.store_membership.update()
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -377,7 +377,7 @@
 
     async def take(steps):
         for shard, name, args, code in steps:
-            got, _ = await registers.run_here(shard, name, copy.deepcopy(args), 30.0)
+            got, _ = await registers.run_locally(shard, name, copy.deepcopy(args), 30.0)
             assert got == code, (name, args, got)
         for shard, state in registers.known.items():
             lines.append(b"%s %d %s\n" % (shard.encode(), state["stamp"], orjson.dumps(state["val"])))
@@ -425,7 +425,7 @@
             "promised": list(voter.promised),
             "ballot": list(voter.proposal_number),
             "state": voter.state,
-            "base": node.registers.base(shard)["stamp"],
+            "base": node.registers.newest_state(shard)["stamp"],
         }
         for shard, voter in node.registers.acceptors.items()
     }
@@ -875,7 +875,7 @@
         node.registers.start()
         node.peers.spread_commit = lambda *told: None
         node.registers.proposers["plan"].incarnation = "a-life"
-        assert (await node.registers.run_here("plan", "run.begin", {"run": "llm", "term": 1}, 30.0))[0] == 1000
+        assert (await node.registers.run_locally("plan", "run.begin", {"run": "llm", "term": 1}, 30.0))[0] == 1000
         await node.wal.close()
 
     run(go())
--- a/tests/control/test_control_safety.py
+++ b/tests/control/test_control_safety.py
@@ -10,6 +10,7 @@
 from archhatch.consensus import Acceptor
 from archhatch.control.agreement import Registers
 from archhatch.control.contact import MajorityContact, ServingGate
+from archhatch.control.group_maintenance import GroupMaintainer
 from archhatch.control.store_membership import StoreMembershipController
 from archhatch.membership import PeerSet
 from archhatch.runtime import Counters
@@ -111,7 +112,7 @@
         members = {n: {"name": n, "zone": "z", "state": "active", "no": i} for i, n in enumerate(names)}
         self.registers = SimpleNamespace(owns=lambda shard: True, known={"plan": {"val": {"stores": members}}})
         self.duty = StoreMembershipController(self)
-        self.duty._joined = {n: joined_at.get(n, 1.0) for n in names}
+        self.duty._member_since = {n: joined_at.get(n, 1.0) for n in names}
 
     async def try_command(self, shard, name, args):
         self.said.append((name, args["id"]))
@@ -131,7 +132,7 @@
 )
 def test_a_silent_store_is_to_leave_once_others_can_do_without_it(run, why, silent, joined_at, leaves):
     node = Duty(silent, joined_at)
-    run(node.duty.tend())
+    run(node.duty.update())
     assert node.said == [("store.leave", name) for name in leaves]
 
 
@@ -151,12 +152,13 @@
     registers = Registers(node)
     registers.known["plan"] = {"stamp": 4, "val": {}, "voters": VOTERS, "prev": None}
     registers.owners = lambda shard: list("abc")
+    groups = GroupMaintainer(node, registers)
     node.contact.record_answer("c", clock.now(), {"plan": 5})
-    assert not registers.overdue("plan")
+    assert not groups.update_overdue("plan")
     clock.at += waits
-    assert registers.overdue("plan") is overdue
+    assert groups.update_overdue("plan") is overdue
     registers.known["plan"]["stamp"] = 5
-    assert not registers.overdue("plan")
+    assert not groups.update_overdue("plan")
 
 
 def test_owners_follow_the_chosen_state_not_one_that_may_never_be():
@@ -168,4 +170,4 @@
     registers = Registers(node)
     registers.known["plan"] = {"stamp": 4, "val": {}, "voters": VOTERS, "prev": None}
     registers.acceptors["plan"].state = {"stamp": 5, "val": {}, "voters": {"x": "x:1"}, "prev": VOTERS}
-    assert sorted(registers.owners("plan")) == ["a", "b", "c"] and registers.base("plan")["stamp"] == 5
+    assert sorted(registers.owners("plan")) == ["a", "b", "c"] and registers.newest_state("plan")["stamp"] == 5
--- a/tests/diagnostics/test_doctor.py
+++ b/tests/diagnostics/test_doctor.py
@@ -71,13 +71,13 @@
             path = settings(tmp_path, SeedPeers=w.seeds, InternalPorts=[w.base, w.base + 5])
             for c in w.cores.values():
                 await w.until(
-                    c.state_board, "news", lambda c=c: c.known.keys() == w.cores[1].known.keys() and c.check_serving()
+                    c.state_board, "feed", lambda c=c: c.known.keys() == w.cores[1].known.keys() and c.check_serving()
                 )
             assert [f for f in await Doctor(path).run() if f.code not in (6010,)] == []
             await w.kill(w.cores.pop(3))
             await w.kill(w.cores.pop(2))
             core = w.cores[1]
-            await w.until(core.state_board, "news", lambda: not core.has_majority_contact())
+            await w.until(core.state_board, "feed", lambda: not core.has_majority_contact())
             core.registry.record_heartbeat({"id": "i-1", "seq": 1, "state": "up"}, core.clock.now() - 60)
             core.registry.sweep(core.clock.now(), 3.0)
             found = await Doctor(path, timeout_s=0.5).run()
--- a/tests/region_policy/test_regions_system.py
+++ b/tests/region_policy/test_regions_system.py
@@ -416,7 +416,7 @@
             await w.all_know("attica", ["*"], True)
             for i in (2, 3):
                 await w.kill(w.cores.pop(i))
-            await w.until(w.cores[1].state_board, "news", lambda: not w.cores[1].has_majority_contact())
+            await w.until(w.cores[1].state_board, "feed", lambda: not w.cores[1].has_majority_contact())
             status, doc = await w.call(
                 "POST", "/api/regions/attica", {"OperState": "in", "Reason": "x"}, core=1, ok=(503,)
             )
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -201,7 +201,7 @@
             assert lone.registers.chosen["plan"] > 0 and not lone.check_serving()
             cut.heal()
             await w.until(
-                lone.state_board, "news", lone.check_serving
+                lone.state_board, "feed", lone.check_serving
             )  # it serves again, and no older version than the others
             assert lone.known["plan"]["val"]["plan"]["Revision"] == 5
         finally:
@@ -217,12 +217,12 @@
             for new, old in ((4, 1), (5, 2), (6, 3)):
                 await w.add_core(new, first=False)
                 node = w.cores[new]
-                await w.until(node.state_board, "news", lambda: len(node.known) == 4 and node.check_serving())
+                await w.until(node.state_board, "feed", lambda: len(node.known) == 4 and node.check_serving())
                 gone = w.cores.pop(old)
                 await gone.leave()  # a spare takes its place in every group before it ends
                 await w.until(
                     node.state_board,
-                    "news",
+                    "feed",
                     lambda: all(
                         node.id in s["voters"] and gone.id not in s["voters"] and not s["prev"]
                         for s in node.known.values()
--- a/tests/system/test_system.py
+++ b/tests/system/test_system.py
@@ -203,7 +203,7 @@
             # not before the change of the group is whole: in its middle both groups must answer
             await w.until(
                 core.state_board,
-                "news",
+                "feed",
                 lambda: (
                     all(core.id in s["voters"] and not s["prev"] for s in core.known.values()) and len(core.known) == 4
                 ),
--- a/tests/upstream/test_subset.py
+++ b/tests/upstream/test_subset.py
@@ -10,6 +10,7 @@
 
 from archhatch.membership import ReplicaRegistry
 from archhatch.control.node import ControlNode
+from archhatch.control.messages import Ping
 from archhatch.control.peers import PeerReport
 from archhatch.runtime import open_logs
 from archhatch.runtime.settings import check_settings
@@ -269,7 +270,7 @@
             )
         doc = orjson.loads(orjson.dumps(a.peers.ping_document(b.address)))
         assert ["state" in e for e in doc["roll"]] == [[True] * 3, [False] * 3, [False, True, False], [False] * 3][step]
-        assert b.peers.merge_ping(doc) is False
+        assert b.peers.merge_ping(Ping.from_document(doc)) is False
         a.peers.reports[b.address] = PeerReport(b.incarnation, a.registry.heartbeat_version)
         assert b.registry.replicas == a.registry.replicas
     assert a.peers.ping_document(b.address)["roll"] == []
@@ -311,7 +312,7 @@
         await a.state_board.wait_for_change("asked", 0)
         await asyncio.sleep(0)
         told = a.peers.reports["b:1"]
-        assert (told.incarnation, told.heartbeats) == acked
+        assert (told.incarnation, told.heartbeat_version) == acked
         task.cancel()
 
     run(go())
@@ -345,8 +346,9 @@
         one, two, three = [orjson.loads(await c.feed.answer({**ask, "turn": t})) for t in (0, 2, 0)]
         assert one == three and [e["id"] for e in one["roll"]] == ["i0", "i1", "i2"]
         assert [e["id"] for e in two["roll"]] == ["i2"] and one["parts"]["plan"]["val"]["plan"] == {"Revision": 9}
-        made = c.feed.registry(0), c.feed.shard("plan", None)
-        assert made == (c.feed.registry(0), c.feed.shard("plan", None)) and made[0] is c.feed.registry(0)
+        made = c.feed.encoded_registry(0), c.feed.encoded_shard("plan", None)
+        assert made == (c.feed.encoded_registry(0), c.feed.encoded_shard("plan", None))
+        assert made[0] is c.feed.encoded_registry(0)
         c.registry.record_heartbeat({**ents(3)[2], "state": "draining", "seq": 2}, 0.0)
         c.known["plan"] = {"stamp": 5, "voters": {}, "prev": None, "val": {"plan": {"Revision": 10}}}
         last = orjson.loads(await c.feed.answer({**ask, "turn": 3}))
