--- a/archhatch/capacity/probes/shares.py
+++ b/archhatch/capacity/probes/shares.py
@@ -56,9 +56,8 @@
             members=lambda: {n: {"state": "active"} for n in names},
             placement=need("region_policy.placement", "Placement")(),
         )
-        self.leader = need("share_group", "PartitionLeader", "fetch", "commit", "sync", "notify_workers", "_hand_out")(
-            store
-        )
+        need("share_group.acquisition", "EntryAcquisition", "acquire_batch")
+        self.leader = need("share_group", "PartitionLeader", "fetch", "commit", "sync", "notify_workers")(store)
         self.names, self.places, self.polls = names, places, itertools.count(1)
 
     async def _list(self, batch_job, iid, doc) -> None:
--- a/archhatch/share_group/acknowledgements.py
+++ b/archhatch/share_group/acknowledgements.py
@@ -1,4 +1,4 @@
-"""Settlements of workers (KIP-932): accept, release and reject, each counted once its copies are synced."""
+"""The leader's side of share.commit: accept, release and reject (KIP-932), each counted once its copies are synced."""
 
 from __future__ import annotations
 
@@ -7,92 +7,126 @@
 import orjson
 
 from ..jobs import DeposedError
-from ..rpc import CallRefusedError
+from .errors import NotLeaderError
+from .hosts import LeaderHost
 from .led_partitions import LedPartitions
-from .window import InvalidTransitionError, ShareEntry, EntryState, SharePartition
+from .led_runs import LedRuns
+from .messages import (
+    AcknowledgeRequest,
+    AcknowledgeResponse,
+    Acknowledgement,
+    FinalAcknowledgement,
+    ReleaseAcknowledgement,
+    acknowledgement_of,
+)
+from .replica_feedback import ReplicaFeedback
+from .window import EntryState, InvalidTransitionError, ShareEntry
 
+FREE_DELIVERIES = 5  # deliveries after which a released entry begins to wait before the next
+PAUSE_PER_DELIVERY_S = 0.02  # by so much longer for each further delivery, up to quiet_s
+MIN_PAUSE_S = 0.001  # a shorter pause is none: the timers are no finer
 
-class Acknowledgements:
-    """Takes the settlements of one leader's workers.
 
-    >>> # settlements = Acknowledgements(leader); doc = await settlements.commit(doc, body)
+class AcknowledgementHandler:
+    """Takes the acknowledgements of one leader's workers.
+
+    Attributes:
+        host: What is used of the node.
+        led_runs: The runs that are led.
+        feedback: Learns from what the runs showed of their replicas.
     """
 
-    def __init__(self, leader):
-        self.leader, self.store, self.quiet_s = leader, leader.store, leader.quiet_s
+    def __init__(self, host: LeaderHost, led_runs: LedRuns) -> None:
+        self.host = host
+        self.led_runs = led_runs
+        self.feedback = ReplicaFeedback(host)
+
+    async def acknowledge(self, document: dict, body: bytes) -> dict:
+        """Commits a worker's acknowledgements.
+
+        Args:
+            document: An AcknowledgeRequest.
+            body: A JSON array of Acknowledgements.
 
-    async def commit(self, doc: dict, body: bytes):
-        """A worker's settlements. Each counts once its copies are synced under this epoch; the answer says which."""
-        run = self.leader.run_of(doc)
+        Returns:
+            An AcknowledgeResponse.
+
+        Raises:
+            NotLeaderError: This node does not lead the run, or no longer.
+            LeaderEpochError: The worker named another epoch.
+        """
+        request = AcknowledgeRequest.from_document(document)
+        run = self.led_runs.find(request.run, request.leader_epoch)
         rows = orjson.loads(body)
-        outs = await asyncio.gather(*(self._settle(run, doc["worker"], row) for row in rows))
-        self.store.state_board.notify("work")
-        return {"done": outs}
+        committed = await asyncio.gather(*(self._acknowledge_one(run, request.worker_id, row) for row in rows))
+        self.host.state_board.notify("work")
+        return AcknowledgeResponse(committed).to_document()
 
-    async def _settle(self, run: LedPartitions, worker: str, row: dict) -> bool:
-        win = run.windows.get(row["part"])
+    async def _acknowledge_one(self, run: LedPartitions, worker_id: str, row: dict) -> bool:
+        """Commits one acknowledgement; returns whether it counts."""
+        acknowledgement = acknowledgement_of(row)
         try:
-            if win is None:
-                raise InvalidTransitionError(f"{row['part']}: no such partition")
-            e = win.held(row["off"], worker, row["dc"])
+            entry = _acquired_entry(run, worker_id, acknowledgement)
         except InvalidTransitionError:
-            self.store.counters.add("share.refused")
+            self.host.counters.add("share.refused")
             return False
-        self._learn(e, row)
-        if e.is_acknowledging:
+        self.feedback.apply(entry, acknowledgement)
+        if entry.is_acknowledging:  # the same acknowledgement came twice
             return False
-        self.leader.unplace(e)
-        if row["kind"] == "release":
-            return self._release(run, win, e, row)
-        e.is_acknowledging = True
+        entry.free_slot()
+        if isinstance(acknowledgement, ReleaseAcknowledgement):
+            self._release(run, entry, acknowledgement)
+            return True
+        return await self._commit_result(run, entry, acknowledgement)
+
+    async def _commit_result(
+        self, run: LedPartitions, entry: ShareEntry, acknowledgement: FinalAcknowledgement
+    ) -> bool:
+        """Lists the result of an accepted or rejected entry; returns whether it counts."""
+        batch_job, item_id, worker_id = entry.batch_job, entry.item.item_id, entry.worker
+        entry.is_acknowledging = True
         try:
-            await run.leadership.append_result(e.batch_job, e.item.item_id, row["doc"])
+            await run.leadership.append_result(batch_job, item_id, acknowledgement.result)
         except DeposedError:
             run.leadership.step_down()
-            raise CallRefusedError(3005) from None
+            raise NotLeaderError from None
         finally:
-            e.is_acknowledging = False
-        if e.item.item_id not in e.batch_job.positioned_items:  # the reign or the lot ended meanwhile: not settled
+            entry.is_acknowledging = False
+        if item_id not in batch_job.positioned_items:  # the term or the batch job ended meanwhile: not listed
             return False
-        if e.state is EntryState.ACQUIRED:
-            win.acknowledge(e.offset, worker, row["dc"], row["kind"])
-            run.entries.get(e.batch_job.job_id, {}).pop(e.item.item_id, None)
-        self.store.counters.add("share." + row["kind"])
+        if entry.state is EntryState.ACQUIRED:
+            window = run.windows[acknowledgement.partition]
+            window.acknowledge(entry.offset, worker_id, acknowledgement.delivery_count, acknowledgement.type)
+            run.entries.get(batch_job.job_id, {}).pop(item_id, None)
+        self.host.counters.add("share." + acknowledgement.type)
         return True
 
-    def _release(self, run: LedPartitions, win: SharePartition, e: ShareEntry, row: dict) -> bool:
-        e.texts, e.last_id, e.versions = row["texts"], row["last"], set(row["versions"])
-        e.fails = max(e.fails, row["fails"])
-        if row["forget_home"]:
-            q = run.queues.get(e.batch_job.job_id)
-            if q is not None:
-                q.forget_home(e.item.group)
-        # a delivery count never ends an item: the rules name what may. One that came back often waits longer.
-        pause = row["pause"] + min(self.quiet_s, 0.02 * max(0, e.delivery_count - 5))
-        win.held(e.offset, e.worker, e.delivery_count)
-        self.leader.again(run, e, "release", pause if pause > 0.001 else 0.0)
-        return True
+    def _release(self, run: LedPartitions, entry: ShareEntry, acknowledgement: ReleaseAcknowledgement) -> None:
+        """Makes a released entry Available again, with what was made of its text.
+
+        A delivery count never ends an entry, as only answers of 500 and 422 may; one that came back often waits longer.
+        """
+        entry.texts = acknowledgement.texts
+        entry.last_event_id = acknowledgement.last_event_id
+        entry.versions = set(acknowledgement.versions)
+        entry.failures = max(entry.failures, acknowledgement.failures)
+        if acknowledgement.is_home_forgotten:
+            queue = run.queues.get(entry.batch_job.job_id)
+            if queue is not None:
+                queue.forget_home(entry.item.group)
+        extra_deliveries = max(0, entry.delivery_count - FREE_DELIVERIES)
+        pause_s = acknowledgement.pause_s + min(self.host.quiet_s, PAUSE_PER_DELIVERY_S * extra_deliveries)
+        self.host.counters.add("share.release")
+        run.release(entry, not_before=self.host.clock.now() + pause_s if pause_s > MIN_PAUSE_S else 0.0)
+
 
-    def _learn(self, x: ShareEntry, row: dict) -> None:
-        """What the run showed of its replica: health and versions are judged here, in one place."""
-        store, now = self.store, self.store.clock.now()
-        e = store.engines.all.get(row["engine"])
-        if e is None:
-            return
-        for sign, rest in row["signs"]:
-            if sign == "served" and store.placement.policy is not None:
-                store.load_balancer.proofs[e.service, e.zone] = now  # a sign of life of its region
-            if sign == "gone":
-                store.engines.remove(e.instance_id)
-                return
-            if sign == "doubt":
-                store.orders.verify_replica(e)
-                e.paused_until = now + store.gap_s() * 0.4
-            elif sign == "full":
-                e.paused_until = now + store.gap_s() * 0.2
-            elif sign == "version":
-                e.record_revision(x.batch_job.model, rest)
-            elif sign == "pace":
-                e.seconds_per_event += 0.1 * (rest - e.seconds_per_event)
-            else:
-                e.health.record(sign, now, rest)
+def _acquired_entry(run: LedPartitions, worker_id: str, acknowledgement: Acknowledgement) -> ShareEntry:
+    """Returns the entry that an acknowledgement names.
+
+    Raises:
+        InvalidTransitionError: There is no such partition, or the worker does not hold this acquisition.
+    """
+    window = run.windows.get(acknowledgement.partition)
+    if window is None:
+        raise InvalidTransitionError(f"{acknowledgement.partition}: no such partition")
+    return window.acquired_entry(acknowledgement.offset, worker_id, acknowledgement.delivery_count)
--- a/archhatch/share_group/item_stream.py
+++ b/archhatch/share_group/item_stream.py
@@ -4,165 +4,203 @@
 
 import asyncio
 import base64
+from contextlib import AbstractAsyncContextManager
 
 import aiohttp
 
+from ..exceptions import ArchhatchError
 from ..upstream import AGAIN, ECHO, EXPECT_REV, SEAL, VERSIONS, NotSentError, belongs, has_end, says_not_run
 from ..upstream.event_stream import EventReader, follows
 from ..upstream.headers import LAST_ID, URGENCY, with_tenant
-from .acquired_entry import AcquiredEntry
+from .acquired_entry import AcquiredEntry, WorkState
+from .hosts import WorkerHost
+from .messages import SignalKind
 
-QUIET, FIRST = 3, 2  # gaps: between two events at most, and beside that until the first one
-BESIDE_LIVE = "9"  # the urgency of items at replicas that live requests use too
-SET_BY_US = frozenset({"host", ECHO.lower(), EXPECT_REV.lower()})  # headers of an item that are not its sender's
+MAX_EVENT_GAPS = 3  # in gap_s: the longest time between two events
+FIRST_EVENT_GAPS = 2  # in gap_s: what the first event may take beside that, for the prompt to be read
+VANISHED_EJECTION_GAPS = 2  # in gap_s: first ejection of a replica that vanished; one gap if it failed
+LIVE_SERVICE_URGENCY = "9"  # urgency of items at replicas that live requests use too: the lowest
+OWN_HEADERS = frozenset({"host", ECHO.lower(), EXPECT_REV.lower()})  # headers that are not the sender's to set
+INSTANCE_ID_HEADER = "X-Archhatch-Instance-Id"  # on a 421: who answers at the address
 
+HTTP_OK = 200
+HTTP_MISDIRECTED = 421
+HTTP_UNPROCESSABLE = 422
+HTTP_SERVER_ERROR = 500
 
-class InvalidStreamError(ValueError):
+
+class InvalidStreamError(ArchhatchError, ValueError):
     """What came is not the answer of this item, or not all of it."""
 
 
 class ItemStream:
-    """run() drives an item once; its job then holds what was made, and its state what comes next.
+    """Drives replicas; an entry then holds what was made, and its state what comes next.
 
-    >>> # await ItemStream(store).run(job)
+    Attributes:
+        host: What is used of the node.
     """
 
-    def __init__(self, store):
-        self.store = store
+    def __init__(self, host: WorkerHost) -> None:
+        self.host = host
 
-    async def run(self, job: AcquiredEntry) -> None:
-        """Run an entry once; what is whole moves on to scoring."""
-        store, gap = self.store, self.store.gap_s()
-        if not job.may_send():
+    async def run(self, entry: AcquiredEntry) -> None:
+        """Runs an entry once; one that is whole, or failed for good, goes on to SCORING."""
+        host, gap_s = self.host, self.host.gap_s()
+        if not entry.may_send():
             return
-        store.counters.add("item.send")
+        host.counters.add("item.send")
         try:
-            async with asyncio.timeout(gap * (QUIET + FIRST)) as limit:
-                async with self._ask(job) as response:
-                    if await self._answered(job, response):
-                        await self._read_events(job, response, limit)
-            return
+            async with asyncio.timeout(gap_s * (MAX_EVENT_GAPS + FIRST_EVENT_GAPS)) as time_limit:
+                async with self._ask(entry) as response:
+                    if await self._is_stream(entry, response):
+                        await self._read_events(entry, response, time_limit)
         except NotSentError:
-            store.counters.add("item.too_late")
+            host.counters.add("item.too_late")
             return
         except aiohttp.ClientConnectorError:
-            job.sign("vanished", gap * 2)
-            store.counters.add("item.no_way")
-        except (asyncio.TimeoutError, TimeoutError):
-            job.sign("vanished", gap * 2)
-            store.counters.add("item.silent")
-        except (aiohttp.ClientError, OSError, ValueError) as e:
-            job.sign("faulted", gap)
-            store.counters.add("item.cut")
-            store.log.debug("item cut at {}: {!r}", job.card["engine"], e)
-        job.forget_home = True
-
-    def _ask(self, job: AcquiredEntry):
-        card = job.card
-        body = base64.b64decode(card["payload"])
-        return self.store.upstream_client.ask(
-            card["addr"], card["engine"], "POST", card["path"], self._heads(job), body, 0.0, AGAIN, job.may_send
+            entry.signal(SignalKind.VANISHED, gap_s * VANISHED_EJECTION_GAPS)
+            host.counters.add("item.connect_failed")
+        except TimeoutError:
+            entry.signal(SignalKind.VANISHED, gap_s * VANISHED_EJECTION_GAPS)
+            host.counters.add("item.timed_out")
+        except (aiohttp.ClientError, OSError, ValueError) as error:
+            entry.signal(SignalKind.FAULTED, gap_s)
+            host.counters.add("item.cut")
+            host.log.debug(
+                "item {}: stream broken off, engine={} error={!r}",
+                entry.record.item_id,
+                entry.record.engine_id,
+                error,
+            )
+        else:
+            return
+        entry.is_home_forgotten = True
+
+    def _ask(self, entry: AcquiredEntry) -> AbstractAsyncContextManager[aiohttp.ClientResponse]:
+        record = entry.record
+        return self.host.upstream_client.ask(
+            record.address,
+            record.engine_id,
+            "POST",
+            record.path,
+            self._headers(entry),
+            base64.b64decode(record.payload),
+            0.0,
+            AGAIN,
+            entry.may_send,
         )
 
-    def _heads(self, job: AcquiredEntry) -> list:
-        card = job.card
-        heads = [("Host", card["host"]), (ECHO, card["iid"]), (EXPECT_REV, str(card["version"]))]
-        given = with_tenant(card["heads"], card.get("tenant"))
-        heads += [(name, value) for name, value in given if name.lower() not in SET_BY_US]
-        if card["service"] in self.store.live_services:
-            heads.append((URGENCY, BESIDE_LIVE))
-        if job.last_id:
-            heads.append((LAST_ID, job.last_id))
-        return heads
-
-    # -- the answer
-
-    async def _answered(self, job: AcquiredEntry, response) -> bool:
-        """Whether a stream follows the head of an answer; any other answer is taken up here."""
-        card = job.card
-        if not belongs(response, card["iid"], AGAIN):
+    def _headers(self, entry: AcquiredEntry) -> list[tuple[str, str]]:
+        record = entry.record
+        headers = [("Host", record.host), (ECHO, record.item_id), (EXPECT_REV, str(record.model_version))]
+        given = with_tenant(record.headers, record.tenant)
+        headers += [(name, value) for name, value in given if name.lower() not in OWN_HEADERS]
+        if record.service in self.host.live_services:
+            headers.append((URGENCY, LIVE_SERVICE_URGENCY))
+        if entry.last_event_id:
+            headers.append((LAST_ID, entry.last_event_id))
+        return headers
+
+    async def _is_stream(self, entry: AcquiredEntry, response: aiohttp.ClientResponse) -> bool:
+        """Returns whether a stream follows the head of an answer; deals with any other answer.
+
+        Raises:
+            InvalidStreamError: The answer is not this item's, or nothing tells where its stream ends.
+        """
+        record = entry.record
+        if not belongs(response, record.item_id, AGAIN):
             response.close()
             raise InvalidStreamError("answer of another item")
         if says_not_run(response):
             await response.read()
-            self._turned_away(job, response)
+            self._note_rejection(entry, response)
             return False
-        if response.status == 422:
+        if response.status == HTTP_UNPROCESSABLE:
             await response.read()
-            job.state, job.fails = "scoring", card["sends"]
+            entry.state = WorkState.SCORING
+            entry.failures = record.max_attempts
             return False
-        if response.status != 200:
+        if response.status != HTTP_OK:
             await response.read()
-            self._failed(job, response.status)
+            self._note_failure(entry, response.status)
             return False
         if SEAL not in response.headers or not has_end(response):
             response.close()
             raise InvalidStreamError("no seal, or nothing that tells where it ends")
         return True
 
-    def _failed(self, job: AcquiredEntry, status: int) -> None:
-        gap = self.store.gap_s()
-        self.store.counters.add(f"item.{status}")
-        if status == 500:
-            job.fails += 1
-            if job.fails >= job.card["sends"]:
-                job.state = "scoring"
-        job.sign("faulted", gap)
-        job.pause = gap
-
-    def _turned_away(self, job: AcquiredEntry, response) -> None:
-        self.store.counters.add(f"item.away.{response.status}")
-        other = response.headers.get("X-Archhatch-Instance-Id")
-        if response.status == 421 and other not in (None, job.card["engine"]):
-            job.sign("gone")
-        elif response.status == 421:
-            job.sign("doubt")
+    def _note_failure(self, entry: AcquiredEntry, status: int) -> None:
+        """The item ran and failed; only answers of 500 count towards its attempts."""
+        gap_s = self.host.gap_s()
+        self.host.counters.add(f"item.{status}")
+        if status == HTTP_SERVER_ERROR:
+            entry.failures += 1
+            if entry.failures >= entry.record.max_attempts:
+                entry.state = WorkState.SCORING
+        entry.signal(SignalKind.FAULTED, gap_s)
+        entry.pause_s = gap_s
+
+    def _note_rejection(self, entry: AcquiredEntry, response: aiohttp.ClientResponse) -> None:
+        """The replica did not run the item: it is another one, has another version, or is full."""
+        self.host.counters.add(f"item.rejected.{response.status}")
+        answering_id = response.headers.get(INSTANCE_ID_HEADER)
+        if response.status != HTTP_MISDIRECTED:
+            entry.signal(SignalKind.FULL)
+            entry.is_home_forgotten = True
+        elif answering_id not in (None, entry.record.engine_id):
+            entry.signal(SignalKind.GONE)
         else:
-            job.sign("full")
-            job.forget_home = True
-
-    # -- the events
-
-    async def _read_events(self, job: AcquiredEntry, response, limit: asyncio.Timeout) -> None:
-        now, version, gap = self.store.clock.now, job.card["version"], self.store.gap_s()
-        current = newest(response.headers.get(VERSIONS, ""), version)
-        reader, began, count = EventReader(), now(), 0
-        async for raw in response.content.iter_any():
-            limit.reschedule(asyncio.get_running_loop().time() + gap * QUIET)
-            for event in reader.feed(raw):
-                if not follows(job.last_id, event.id):
+            entry.signal(SignalKind.DOUBT)
+
+    async def _read_events(
+        self, entry: AcquiredEntry, response: aiohttp.ClientResponse, time_limit: asyncio.Timeout
+    ) -> None:
+        """Reads the stream to its end.
+
+        Raises:
+            InvalidStreamError: An event came again, or the stream ended inside one.
+        """
+        now, expected, gap_s = self.host.clock.now, entry.record.model_version, self.host.gap_s()
+        loop_time = asyncio.get_running_loop().time
+        current = newest_version(response.headers.get(VERSIONS, ""), expected)
+        reader, began_at, count = EventReader(), now(), 0
+        async for chunk in response.content.iter_any():
+            time_limit.reschedule(loop_time() + gap_s * MAX_EVENT_GAPS)
+            for event in reader.feed(chunk):
+                if not follows(entry.last_event_id, event.id):
                     raise InvalidStreamError("an event comes again")
                 if event.version:
-                    current = newest(event.version, current)
-                job.texts.append(event.data)
-                job.last_id = event.id
-                job.versions.add(current)
+                    current = newest_version(event.version, current)
+                entry.texts.append(event.data)
+                entry.last_event_id = event.id
+                entry.versions.add(current)
                 count += 1
         if reader.rest:
             raise InvalidStreamError("stream ended inside an event")
-        if current > version:
-            job.sign("version", current)
-        job.sign("served", gap)
+        if current > expected:
+            entry.signal(SignalKind.VERSION, current)
+        entry.signal(SignalKind.SERVED, gap_s)
         if count:
-            job.sign("pace", (now() - began) / count)
-        self._judge_text(job)
-
-    def _judge_text(self, job: AcquiredEntry) -> None:
-        """Whole: on to scoring, unless its versions do not fit the lot."""
-        card = job.card
-        too_old = any(version < card["least"] for version in job.versions)
-        if too_old or (card["single"] and len(job.versions) > 1) or not job.texts:
-            self.store.counters.add("item.misfit")
-            job.drop_text()
+            entry.signal(SignalKind.PACE, (now() - began_at) / count)
+        self._judge_text(entry)
+
+    def _judge_text(self, entry: AcquiredEntry) -> None:
+        """Sends a whole text on to scoring, unless the batch job does not allow the versions that made it."""
+        record = entry.record
+        is_too_old = any(version < record.min_version for version in entry.versions)
+        is_mixed = record.is_single_version and len(entry.versions) > 1
+        if is_too_old or is_mixed or not entry.texts:
+            self.host.counters.add("item.unusable")
+            entry.drop_text()
             return
-        job.state = "scoring"
+        entry.state = WorkState.SCORING
 
 
-def newest(head: str, default: int) -> int:
-    """The newest number in a head of versions.
+def newest_version(header: str, default: int) -> int:
+    """Returns the last number in a header of versions, or the default if it has none.
 
-    >>> newest("6,7", 1), newest("", 3)
+    >>> newest_version("6,7", 1), newest_version("", 3)
     (7, 3)
     """
-    nums = [int(x) for x in head.replace(" ", "").split(",") if x.isdigit()]
-    return nums[-1] if nums else default
+    versions = [int(part) for part in header.replace(" ", "").split(",") if part.isdigit()]
+    return versions[-1] if versions else default
--- a/archhatch/share_group/job_queue.py
+++ b/archhatch/share_group/job_queue.py
@@ -1,4 +1,4 @@
-"""The Available entries of one lot, by group, so that a place finds its next entry without a walk over all of them."""
+"""The Available entries of one batch job, by group, so that a free slot finds its next entry without a full scan."""
 
 from __future__ import annotations
 
@@ -9,86 +9,150 @@
 
 
 class JobQueue:
-    """take() gives the next entry for an engine: of a group that stands there, of a group without a home, of any.
+    """Gives each engine its next entry: of a group at home there, else of a group without a home, else of any.
 
-    >>> # q = JobQueue(want=12); q.put(entry); q.take("i-1", surplus=False, now=0.0)
+    The items of a group share a prompt, so a group stays at one engine, whose prefix cache then serves all of them.
+
+    Attributes:
+        wanted_groups: Groups below this rank are waited for by the trainer, the others are surplus; 0 if none is
+            surplus.
+        groups: The waiting entries of each group.
+        ranks: The rank of each group.
+        homes: The engine of each group that has one.
+        groups_at: The groups at home at each engine.
+        delayed: Heap of entries that wait for a time: (time, number, entry, whether it goes to its group's head).
+        wanted_count: Waiting entries of wanted groups, without the delayed ones.
+        surplus_count: Waiting entries of surplus groups, without the delayed ones.
     """
 
-    def __init__(self, want: int):
-        self.want = want
-        self.groups: dict[str, deque] = {}  # group -> its waiting entries
+    def __init__(self, wanted_groups: int) -> None:
+        self.wanted_groups = wanted_groups
+        self.groups: dict[str, deque[ShareEntry]] = {}
         self.ranks: dict[str, int] = {}
-        self.homes: dict[str, str] = {}  # group -> engine
-        self.at: dict[str, set] = {}  # engine -> groups whose home it is
-        self.later: list = []  # (when, number, entry): those that pause
-        self.waiting = [0, 0]  # entries of wanted groups, of the others
-        self._free: list = []  # heap of (rank, group): groups without a home
-        self._count = 0
-
-    def _surplus(self, rank: int) -> bool:
-        return rank >= self.want > 0
-
-    def put(self, e: ShareEntry, front: bool = False) -> None:
-        """An entry that waits, until its pause is over if it has one."""
-        if e.not_before > 0:
-            self._count += 1
-            heapq.heappush(self.later, (e.not_before, self._count, e, front))
+        self.homes: dict[str, str] = {}
+        self.groups_at: dict[str, set[str]] = {}
+        self.delayed: list[tuple[float, int, ShareEntry, bool]] = []
+        self.wanted_count = 0
+        self.surplus_count = 0
+        self._homeless: list[tuple[int, str]] = []  # heap of (rank, group)
+        self._delayed_total = 0  # tie-breaker of the heap of delayed entries
+
+    def _is_surplus(self, rank: int) -> bool:
+        return rank >= self.wanted_groups > 0
+
+    def _count(self, rank: int, change: int) -> None:
+        if self._is_surplus(rank):
+            self.surplus_count += change
+        else:
+            self.wanted_count += change
+
+    def waiting_count(self, is_surplus: bool) -> int:
+        """Returns how many entries of surplus or of wanted groups wait, without the delayed ones."""
+        return self.surplus_count if is_surplus else self.wanted_count
+
+    def is_empty(self) -> bool:
+        """Returns whether nothing waits, delayed entries included."""
+        return not (self.wanted_count or self.surplus_count or self.delayed)
+
+    def put(self, entry: ShareEntry, front: bool = False) -> None:
+        """Adds a waiting entry, to its group's head or end; one with a not_before is delayed until then."""
+        if entry.not_before > 0:
+            self._delayed_total += 1
+            heapq.heappush(self.delayed, (entry.not_before, self._delayed_total, entry, front))
             return
-        group = e.item.group
-        row = self.groups.get(group)
-        if row is None:
-            row = self.groups[group] = deque()
-            self.ranks[group] = e.rank
-        if not row and group not in self.homes:
-            heapq.heappush(self._free, (e.rank, group))
-        row.appendleft(e) if front else row.append(e)
-        self.waiting[self._surplus(e.rank)] += 1
-
-    def _wake(self, now: float) -> None:
-        while self.later and self.later[0][0] <= now:
-            _, _, e, front = heapq.heappop(self.later)
-            e.not_before = 0.0
-            self.put(e, front)
+        group = entry.item.group
+        entries = self.groups.get(group)
+        if entries is None:
+            entries = self.groups[group] = deque()
+            self.ranks[group] = entry.rank
+        if not entries and group not in self.homes:
+            heapq.heappush(self._homeless, (entry.rank, group))
+        if front:
+            entries.appendleft(entry)
+        else:
+            entries.append(entry)
+        self._count(entry.rank, 1)
+
+    def remove(self, entry: ShareEntry) -> bool:
+        """Takes out a given entry; returns False if it does not wait here, or is delayed."""
+        entries = self.groups.get(entry.item.group)
+        if entries is None or entry not in entries:
+            return False
+        entries.remove(entry)
+        self._count(entry.rank, -1)
+        return True
+
+    def promote_delayed(self, now: float) -> None:
+        """Moves the delayed entries whose time has come to their groups."""
+        while self.delayed and self.delayed[0][0] <= now:
+            _, _, entry, front = heapq.heappop(self.delayed)
+            entry.not_before = 0.0
+            self.put(entry, front)
 
     def forget_home(self, group: str) -> None:
-        """The group's replica failed it: it may stand elsewhere."""
+        """Lets a group move to another engine."""
         engine = self.homes.pop(group, None)
         if engine is not None:
-            self.at.get(engine, set()).discard(group)
+            self.groups_at.get(engine, set()).discard(group)
             if self.groups.get(group):
-                heapq.heappush(self._free, (self.ranks[group], group))
+                heapq.heappush(self._homeless, (self.ranks[group], group))
 
     def take(self, engine: str, surplus: bool, now: float) -> ShareEntry | None:
-        """The next waiting entry for a free place of an engine."""
-        self._wake(now)
-        if not self.waiting[surplus]:
+        """Takes the next entry for a free slot.
+
+        Args:
+            engine: Id of the engine that has the slot.
+            surplus: Whether to take of the surplus groups or of the wanted ones.
+            now: The time, by the steady clock.
+
+        Returns:
+            The entry, or None if none waits.
+        """
+        self.promote_delayed(now)
+        if not (self.surplus_count if surplus else self.wanted_count):
+            return None
+        group = self._group_at_home(engine, surplus)
+        if group is None:
+            group = self._assign_home(engine, surplus)
+        if group is None:
+            group = self._longest_group(surplus)
+        if group is None:
             return None
+        if surplus:
+            self.surplus_count -= 1
+        else:
+            self.wanted_count -= 1
+        return self.groups[group].popleft()
+
+    def _group_at_home(self, engine: str, surplus: bool) -> str | None:
+        """The lowest-ranked group at home at an engine that has entries waiting."""
         best = None
-        for group in self.at.get(engine, ()):
+        for group in self.groups_at.get(engine, ()):
             if (
                 self.groups[group]
-                and self._surplus(self.ranks[group]) == surplus
+                and self._is_surplus(self.ranks[group]) == surplus
                 and (best is None or self.ranks[group] < self.ranks[best])
             ):
                 best = group
-        if best is None:
-            while self._free and (not self.groups[self._free[0][1]] or self._free[0][1] in self.homes):
-                heapq.heappop(self._free)
-            if self._free and self._surplus(self._free[0][0]) == surplus:
-                best = heapq.heappop(self._free)[1]
-                self.homes[best] = engine
-                self.at.setdefault(engine, set()).add(best)
-        if best is None:
-            # all stand elsewhere, and this place is idle: help the fullest of them
-            rows = [g for g, row in self.groups.items() if row and self._surplus(self.ranks[g]) == surplus]
-            best = max(rows, key=lambda g: (len(self.groups[g]), -self.ranks[g]), default=None)
-        if best is None:
+        return best
+
+    def _assign_home(self, engine: str, surplus: bool) -> str | None:
+        """Gives the lowest-ranked group without a home its home at an engine."""
+        homeless = self._homeless
+        while homeless and (not self.groups[homeless[0][1]] or homeless[0][1] in self.homes):
+            heapq.heappop(homeless)
+        if not homeless or self._is_surplus(homeless[0][0]) != surplus:
             return None
-        e = self.groups[best].popleft()
-        self.waiting[surplus] -= 1
-        return e
-
-    def wanted(self, now: float) -> bool:
-        """Whether entries that the trainer waits for wait here."""
-        self._wake(now)
-        return self.waiting[False] > 0
+        group = heapq.heappop(homeless)[1]
+        self.homes[group] = engine
+        self.groups_at.setdefault(engine, set()).add(group)
+        return group
+
+    def _longest_group(self, surplus: bool) -> str | None:
+        """The group with most entries waiting: all are at home elsewhere, and an idle slot helps out."""
+        groups = [
+            group
+            for group, entries in self.groups.items()
+            if entries and self._is_surplus(self.ranks[group]) == surplus
+        ]
+        return max(groups, key=lambda group: (len(self.groups[group]), -self.ranks[group]), default=None)
--- a/archhatch/share_group/replica_slots.py
+++ b/archhatch/share_group/replica_slots.py
@@ -1,22 +1,35 @@
-"""The places of replicas: how many of them may take items now, who drives which, and whether there are too few."""
+"""The replicas' slots: how many may take items now, which worker drives which replica, whether there are too few."""
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from ..health import EJECTED, SUSPECT
 from ..membership import rank
 from ..rollout_controller.load_limit import LoadLimit
-from .led_partitions import LedPartitions
+from .hosts import LeaderHost
+from .led_partitions import LedPartitions, WorkerState
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from ..jobs import BatchJob
+    from ..rollout_controller.engines import Engine
+    from ..routing import RoutingTable
+    from ..routing.routes import Route
 
-DOUBTFUL = 3  # a replica in doubt has one place in so many
-DONE_BY = 0.8  # of the time until a lot is due: by then its demand has all done
-IN_TIME = 0.4  # of the time until a lot is due: what waits and would be done in so much needs no more replicas
-LAG = 4.0  # a worker whose node lags this many times more than the middle one drives no replica
+SUSPECT_SHARE = 3  # a suspect replica gets one in so many of its slots, and one at least
+DEMAND_DONE_BY = 0.8  # of the time until a job is due: the demand is what has all done by then
+IN_TIME_SHARE = 0.4  # of the time until a job is due: what waits and is done by then needs no more replicas
+LAGGING_RATIO = 4.0  # a worker whose timers lag this many times the median drives no replica
+MIN_LAG_HEARTBEATS = 0.25  # in heartbeat intervals: a lag below is never too much
+MIN_OTHER_WORKERS = 2  # from so many others on, the leader's own node drives no replica
 
 
-def lane_of(plan, batch_job):
-    """The lane that a lot came by; None if the configuration has it no more.
+def route_of(plan: RoutingTable | None, batch_job: BatchJob) -> Route | None:
+    """Returns the route that a batch job came by, or None if the configuration has it no more.
 
-    >>> lane_of(None, None) is None
+    >>> route_of(None, None) is None
     True
     """
     return plan.route(batch_job.host, batch_job.path.split("?", 1)[0]) if plan is not None else None
@@ -25,93 +38,127 @@
 class ReplicaSlots:
     """Answers for one leader.
 
-    >>> # places = ReplicaSlots(store); places.free_slots(engine, now); places.driver_of(run, engine)
+    Attributes:
+        host: What is used of the node.
+        load_limit: How many slots live requests leave.
     """
 
-    def __init__(self, store):
-        self.store = store
+    def __init__(self, host: LeaderHost) -> None:
+        self.host = host
         self.load_limit = LoadLimit()
 
-    def eligible_workers(self, run: LedPartitions) -> list:
-        """Seats that may drive replicas: not those that lag far behind the others, nor this node if others can."""
-        seats = list(run.workers.values())
-        lags = sorted(s.lag for s in seats)
-        middle = lags[len(lags) // 2] if lags else 0.0
-        well = [s for s in seats if s.lag <= max(LAG * middle, self.store.heartbeat_interval_s * 0.25)] or seats
-        others = [s for s in well if s.worker != self.store.id]
-        return others if len(others) >= 2 else well
-
-    def driver_of(self, run: LedPartitions, e) -> str | None:
-        """The worker of an engine, by rendezvous: of the engine's zone where there is one."""
-        seats = self.eligible_workers(run)
-        key = tuple(sorted((s.worker, s.zone) for s in seats))
-        if key != run.drivers_of:
-            run.drivers_of, run.drivers = key, {}
-        got = run.drivers.get(e.instance_id)
-        if got is None and key:
-            near = [w for w, z in key if z == e.zone] or [w for w, _ in key]
-            got = run.drivers[e.instance_id] = rank(e.instance_id, near)[0]
-        return got
-
-    def usable_slots(self, e) -> int:
-        return self.load_limit.usable_slots(e.service, e.slots, self.store.engines.count_of(e.service))
-
-    def free_slots(self, e, now: float) -> int:
-        """Free places of an engine that may have items; one in doubt gets few until it has proven itself."""
-        if e.draining or e.paused_until > now:
+    def eligible_workers(self, run: LedPartitions) -> list[WorkerState]:
+        """Returns the workers that may drive replicas.
+
+        Not those whose timers lag far behind the others', nor this node if enough others can: the leader has work of
+        its own.
+        """
+        workers = list(run.workers.values())
+        lags = sorted(worker.timer_lag_s for worker in workers)
+        median_s = lags[len(lags) // 2] if lags else 0.0
+        max_lag_s = max(LAGGING_RATIO * median_s, self.host.heartbeat_interval_s * MIN_LAG_HEARTBEATS)
+        prompt = [worker for worker in workers if worker.timer_lag_s <= max_lag_s] or workers
+        others = [worker for worker in prompt if worker.worker_id != self.host.id]
+        return others if len(others) >= MIN_OTHER_WORKERS else prompt
+
+    def driver_of(self, run: LedPartitions, engine: Engine) -> str | None:
+        """Returns the worker that drives an engine, by rendezvous hashing among the workers of the engine's zone.
+
+        Where its zone has none, among all; None while there are no workers.
+        """
+        key = tuple(sorted((worker.worker_id, worker.zone) for worker in self.eligible_workers(run)))
+        if key != run.drivers_key:
+            run.drivers_key = key
+            run.drivers = {}
+        driver = run.drivers.get(engine.instance_id)
+        if driver is None and key:
+            nearby = [worker_id for worker_id, zone in key if zone == engine.zone]
+            driver = rank(engine.instance_id, nearby or [worker_id for worker_id, _ in key])[0]
+            run.drivers[engine.instance_id] = driver
+        return driver
+
+    def usable_slots(self, engine: Engine) -> int:
+        """Returns how many slots of an engine live requests leave, busy ones included."""
+        return self.load_limit.usable_slots(engine.service, engine.slots, self.host.engines.count_of(engine.service))
+
+    def free_slots(self, engine: Engine, now: float) -> int:
+        """Returns how many more items an engine may take; a suspect one gets few until it has proven itself."""
+        if engine.draining or engine.paused_until > now:
             return 0
-        health = e.health.update(now)
+        health = engine.health.update(now)
         if health is EJECTED:
             return 0
-        places = self.usable_slots(e)
-        return (min(places, max(1, places // DOUBTFUL)) if health is SUSPECT else places) - e.running_count()
+        slots = self.usable_slots(engine)
+        if health is SUSPECT:
+            slots = min(slots, max(1, slots // SUSPECT_SHARE))
+        return slots - engine.running_count()
 
     def lacks_replicas(self, run: LedPartitions, model: str) -> bool:
-        """Whether items that the trainer waits for find no free place under a version that they allow, and would not be
-        done well before they are due where the others run."""
-        now = self.store.clock.now()
-        for job_id, q in run.queues.items():
+        """Returns whether more replicas should load a model.
+
+        So if items that the trainer waits for find no free slot under a version that they allow, and would not be
+        done well before they are due where the others run.
+        """
+        now = self.host.clock.now()
+        for job_id, queue in run.queues.items():
             batch_job = run.leadership.batch_jobs.get(job_id)
-            if batch_job is None or batch_job.model != model or batch_job.is_ended or not q.wanted(now):
+            if batch_job is None or batch_job.model != model or batch_job.is_ended:
                 continue
-            fit = [
-                e
-                for e in self.store.engines.of_service(run.leadership.run)
-                if model not in e.held_models and e.revisions.get(model, 1) >= batch_job.min_revision and not e.draining
-            ]
-            if any(e.running_count() < self.usable_slots(e) for e in fit):
+            queue.promote_delayed(now)
+            if not queue.wanted_count:
                 continue
-            if not self._in_time(
-                run, batch_job, q.waiting[False], sum(e.running_items.get(model, 0) for e in fit), now
-            ):
+            engines = self._engines_for(run, batch_job)
+            if any(engine.running_count() < self.usable_slots(engine) for engine in engines):
+                continue
+            running = sum(engine.running_items.get(model, 0) for engine in engines)
+            if not self._is_done_in_time(run, batch_job, queue.wanted_count, running, now):
                 return True
         return False
 
+    def _engines_for(self, run: LedPartitions, batch_job: BatchJob) -> list[Engine]:
+        """The engines whose version of the model a batch job allows."""
+        model = batch_job.model
+        return [
+            engine
+            for engine in self.host.engines.of_service(run.leadership.run)
+            if model not in engine.held_models
+            and engine.revisions.get(model, 1) >= batch_job.min_revision
+            and not engine.draining
+        ]
+
+    def _is_done_in_time(self, run: LedPartitions, batch_job: BatchJob, waiting: int, running: int, now: float) -> bool:
+        """Whether so many waiting items of a batch job would be done well before it is due."""
+        route = route_of(self.host.plan, batch_job)
+        done_s = run.times.forecast(batch_job.model, waiting, running)
+        if route is None or done_s is None:
+            return False
+        return done_s <= IN_TIME_SHARE * (batch_job.accepted_at + route.due_s - now)
+
     def demand(self, run: LedPartitions) -> float:
-        """The places that would have all open lots done in time: for what the trainer waits for, and what runs now."""
-        now, total = self.store.clock.now(), 0.0
+        """Returns the slots with which all open batch jobs would be done in time.
+
+        Counts what the trainer waits for and what runs now.
+        """
+        now = self.host.clock.now()
+        total = 0.0
         for job_id, queue in run.queues.items():
             batch_job = run.leadership.batch_jobs.get(job_id)
-            route = lane_of(self.store.plan, batch_job) if batch_job is not None and not batch_job.is_ended else None
-            mean_s = run.times.mean_s(batch_job.model) if route is not None else None
-            if mean_s is None:
+            if batch_job is None or batch_job.is_ended:
+                continue
+            route = route_of(self.host.plan, batch_job)
+            mean_s = run.times.mean_s(batch_job.model)
+            if route is None or mean_s is None:
                 continue
-            running = len(run.entries.get(job_id, ())) - sum(queue.waiting)
-            left_s = DONE_BY * (batch_job.accepted_at + route.due_s - now)
-            share = min(1.0, mean_s / left_s) if left_s > 0 else 1.0
-            total += share * (queue.waiting[False] + max(0, running))
+            running = len(run.entries.get(job_id, ())) - queue.wanted_count - queue.surplus_count
+            left_s = DEMAND_DONE_BY * (batch_job.accepted_at + route.due_s - now)
+            slots_per_item = min(1.0, mean_s / left_s) if left_s > 0 else 1.0
+            total += slots_per_item * (queue.wanted_count + max(0, running))
         return total
 
-    def _in_time(self, run: LedPartitions, batch_job, waiting: int, running: int, now: float) -> bool:
-        """Whether so many waiting items of a lot would be done well before it is due."""
-        route, done_s = lane_of(self.store.plan, batch_job), run.times.forecast(batch_job.model, waiting, running)
-        return (
-            route is not None and done_s is not None and done_s <= IN_TIME * (batch_job.accepted_at + route.due_s - now)
-        )
-
-    def free_slots_on(self, run: LedPartitions, routes: list) -> int:
-        """Free places where any of these lanes may run."""
-        now, placement = self.store.clock.now(), self.store.placement
-        zones = {zone for route in {id(x): x for x in routes}.values() for zone in placement.zones(route) or ()}
-        engines = [e for e in self.store.engines.of_service(run.leadership.run) if e.zone in zones]
-        return sum(max(0, self.free_slots(e, now)) for e in engines)
+    def free_slots_on(self, run: LedPartitions, routes: Iterable[Route]) -> int:
+        """Returns the free slots of the run's engines in all zones that any of the routes may use."""
+        now = self.host.clock.now()
+        distinct = {id(route): route for route in routes}.values()  # by identity: equal routes are one object
+        zones = {zone for route in distinct for zone in self.host.placement.zones(route) or ()}
+        engines = [engine for engine in self.host.engines.of_service(run.leadership.run) if engine.zone in zones]
+        return sum(max(0, self.free_slots(engine, now)) for engine in engines)
--- a/archhatch/share_group/window.py
+++ b/archhatch/share_group/window.py
@@ -1,12 +1,20 @@
-"""The share partition's window (KIP-932): which entries of a partition of the step log are in flight, and with whom."""
+"""The share partition's in-flight window (KIP-932): which entries of a partition are acquired, and by whom."""
 
 from __future__ import annotations
 
 import enum
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Any
 
 from transitions import Machine
 
+from ..exceptions import ArchhatchError
+
+if TYPE_CHECKING:
+    from ..jobs import BatchJob
+    from ..jobs.batch_job import Item
+    from ..rollout_controller.engines import Engine
+
 
 class EntryState(enum.IntEnum):
     """The states of an entry; the numbers are those of KIP-932's delivery states."""
@@ -17,7 +25,7 @@
     ARCHIVED = 4
 
 
-TRANSITION_RULES = [
+TRANSITION_RULES: list[dict[str, Any]] = [
     {"trigger": "acquire", "source": "AVAILABLE", "dest": "ACQUIRED"},
     {"trigger": "release", "source": "ACQUIRED", "dest": "AVAILABLE"},
     {"trigger": "accept", "source": "ACQUIRED", "dest": "ACKNOWLEDGED"},
@@ -25,158 +33,244 @@
     {"trigger": "archive", "source": ["AVAILABLE", "ACQUIRED"], "dest": "ARCHIVED"},
     {"trigger": "found", "source": ["AVAILABLE", "ACQUIRED"], "dest": "ACKNOWLEDGED"},
 ]
-FINAL = (EntryState.ACKNOWLEDGED, EntryState.ARCHIVED)
+FINAL_STATES = (EntryState.ACKNOWLEDGED, EntryState.ARCHIVED)
 
 
-def _table() -> dict:
-    """The machine's moves as a look-up: entries come by the ten thousand, one machine serves them all."""
+def _build_transitions() -> dict[tuple[EntryState, str], EntryState]:
+    """Checks the rules with a state machine, and returns them as a table.
+
+    A table, because there are tens of thousands of entries: a machine for each would cost too much memory.
+    """
     Machine(
         model=None,
-        states=[s.name for s in EntryState],
+        states=[state.name for state in EntryState],
         initial="AVAILABLE",
         transitions=TRANSITION_RULES,
         auto_transitions=False,
     )
-    out = {}
-    for m in TRANSITION_RULES:
-        for src in [m["source"]] if isinstance(m["source"], str) else m["source"]:
-            out[EntryState[src], m["trigger"]] = EntryState[m["dest"]]
-    return out
+    table = {}
+    for rule in TRANSITION_RULES:
+        source = rule["source"]
+        for name in [source] if isinstance(source, str) else source:
+            table[EntryState[name], rule["trigger"]] = EntryState[rule["dest"]]
+    return table
 
 
-TRANSITIONS = _table()
+TRANSITIONS = _build_transitions()
 
 
-class InvalidTransitionError(Exception):
-    """A settlement of an entry that is not the caller's, or of another acquisition: it counts for nothing."""
+class InvalidTransitionError(ArchhatchError):
+    """A transition that the entry's state, its holder or the limit of locks forbids; it has no effect."""
 
 
 @dataclass(slots=True, eq=False)
 class ShareEntry:
-    """One item of an open lot at its offset. partial: what released runs made of its text."""
+    """One item of an open batch job, at its offset in the share partition.
+
+    Attributes:
+        offset: The offset.
+        batch_job: The batch job that the item belongs to.
+        item: The item.
+        rank: The rank of the item's group in its batch job, from 0.
+        state: The delivery state.
+        delivery_count: How often the entry was acquired.
+        worker: The worker of the last acquisition.
+        locked_until: End of the acquisition lock, by the steady clock.
+        is_acknowledging: Whether an acknowledgement is being committed; the lock does not expire meanwhile.
+        engine: The replica where the entry takes a slot, or None.
+        failures: Answers of 500 so far.
+        texts: The events that released runs made.
+        last_event_id: The last of these events.
+        versions: The model versions that made them.
+        not_before: Earliest time of the next acquisition, by the steady clock; 0 if at once.
+        is_recalled: Whether the worker was told to release the entry.
+    """
 
     offset: int
-    batch_job: object
-    item: object
+    batch_job: BatchJob
+    item: Item
     rank: int
     state: EntryState = EntryState.AVAILABLE
     delivery_count: int = 0
     worker: str = ""
     locked_until: float = 0.0
     is_acknowledging: bool = False
-    engine: object = None  # where it runs, while its stream takes a place there
-    fails: int = 0
-    texts: list = field(default_factory=list)
-    last_id: str = ""
-    versions: set = field(default_factory=set)
+    engine: Engine | None = None
+    failures: int = 0
+    texts: list[str] = field(default_factory=list)
+    last_event_id: str = ""
+    versions: set[int] = field(default_factory=set)
     not_before: float = 0.0
-    recalled: bool = False
+    is_recalled: bool = False
 
     def drop_text(self) -> None:
-        """Start over: what was made does not fit."""
-        self.texts, self.last_id, self.versions = [], "", set()
-
-    def fits(self, version: int, single: bool) -> bool:
-        """Whether a run under a version may go on with this text: the one place where that is decided.
+        """Discards the text of earlier runs: the item starts over."""
+        self.texts = []
+        self.last_event_id = ""
+        self.versions = set()
+
+    def take_slot(self, engine: Engine) -> None:
+        """Notes that the entry takes a slot of an engine."""
+        model = self.batch_job.model
+        engine.running_items[model] = engine.running_items.get(model, 0) + 1
+        self.engine = engine
+
+    def free_slot(self) -> None:
+        """Frees the entry's slot, if it takes one."""
+        if self.engine is not None:
+            self.engine.running_items[self.batch_job.model] -= 1
+            self.engine = None
+
+    def fits(self, version: int, is_single_version: bool) -> bool:
+        """Returns whether a run under a model version may go on with the text so far.
 
         >>> ShareEntry(0, type("L", (), {"min_revision": 2})(), None, 0, texts=["a"], versions={3}).fits(4, True)
         False
         """
-        if version < self.batch_job.min_revision or any(v < self.batch_job.min_revision for v in self.versions):
+        min_version = self.batch_job.min_revision
+        if version < min_version or any(made_by < min_version for made_by in self.versions):
             return False
-        return not (single and self.versions and self.versions != {version})
+        return not (is_single_version and self.versions and self.versions != {version})
+
+    def is_acquired_by(self, worker: str, delivery_count: int) -> bool:
+        """Returns whether this very acquisition of a worker stands."""
+        return self.state is EntryState.ACQUIRED and self.worker == worker and self.delivery_count == delivery_count
 
 
 class SharePartition:
-    """Entries by offset. Before start all are final; from end on none was ever acquired; between them they are in
-    flight. Locks are timed on the steady clock and at most max_locks at once.
+    """The entries of one share partition by offset.
+
+    Before start_offset all entries are final; from end_offset on none was ever acquired; between them they are in
+    flight.
 
     >>> w = SharePartition("m", 3, lock_s=30.0, max_locks=200); e = w.append(None, None, 0)
     >>> w.acquire(e, "w1", 0.0); w.acknowledge(e.offset, "w1", 1, "accept").state.name, w.start_offset
     ('ACKNOWLEDGED', 1)
+
+    Attributes:
+        partition: Name of the partition: the model.
+        epoch: The leader epoch.
+        lock_s: Duration of an acquisition lock.
+        max_locks: How many entries may be acquired at a time.
+        start_offset: The first offset that is not final.
+        end_offset: The first offset from which on no entry was ever acquired.
+        next_offset: The offset of the next entry that is appended.
+        entries: Entries that are not final.
+        locked: The acquired ones of them.
+        restored_counts: Delivery counts read from disk, until their entries are appended.
+        unsaved: State and delivery count of the offsets that changed since the last record on disk.
     """
 
-    def __init__(self, partition: str, epoch: int, lock_s: float, max_locks: int):
-        self.partition, self.epoch = partition, epoch
-        self.lock_s, self.max_locks = lock_s, max_locks
-        self.start_offset = self.end_offset = 0
-        self.next_offset = 0  # the offset of the next entry that is appended
-        self.entries: dict[int, ShareEntry] = {}  # those that are not final
+    def __init__(self, partition: str, epoch: int, lock_s: float, max_locks: int) -> None:
+        self.partition = partition
+        self.epoch = epoch
+        self.lock_s = lock_s
+        self.max_locks = max_locks
+        self.start_offset = 0
+        self.end_offset = 0
+        self.next_offset = 0
+        self.entries: dict[int, ShareEntry] = {}
         self.locked: dict[int, ShareEntry] = {}
-        self.restored_counts: dict[
-            int, int
-        ] = {}  # delivery counts read from a snapshot, until their entries are appended
-        self.unsaved: dict[int, tuple] = {}  # offset -> (state, delivery_count) since the last delta
-
-    def _move(self, e: ShareEntry, trigger: str) -> None:
-        to = TRANSITIONS.get((e.state, trigger))
-        if to is None:
-            raise InvalidTransitionError(f"{self.partition}@{e.offset}: {e.state.name} knows no {trigger}")
-        e.state = to
-        if to is not EntryState.ACQUIRED:
-            self.locked.pop(e.offset, None)
-            e.is_acknowledging = False
+        self.restored_counts: dict[int, int] = {}
+        self.unsaved: dict[int, tuple[int, int]] = {}
+
+    def _move(self, entry: ShareEntry, trigger: str) -> None:
+        state = TRANSITIONS.get((entry.state, trigger))
+        if state is None:
+            raise InvalidTransitionError(
+                f"{self.partition}@{entry.offset}: no transition {trigger} from {entry.state.name}"
+            )
+        entry.state = state
+        if state is not EntryState.ACQUIRED:
+            self.locked.pop(entry.offset, None)
+            entry.is_acknowledging = False
             # acquisitions are not written down, as in KIP-932: a new leader presents them again
-            self.unsaved[e.offset] = (int(to), e.delivery_count)
-        if to in FINAL:
-            self.entries.pop(e.offset, None)
-            self._advance()
+            self.unsaved[entry.offset] = (int(state), entry.delivery_count)
+        if state in FINAL_STATES:
+            self.entries.pop(entry.offset, None)
+            self._advance_start()
 
-    def _advance(self) -> None:
+    def _advance_start(self) -> None:
         while self.start_offset < self.next_offset and self.start_offset not in self.entries:
             self.start_offset += 1
         self.end_offset = max(self.end_offset, self.start_offset)
 
-    def append(self, batch_job, item, rank: int, offset: int | None = None) -> ShareEntry:
-        """A new entry behind all others, or at the offset that it had under an earlier leader."""
-        at = self.next_offset if offset is None or offset in self.entries or offset < self.start_offset else offset
-        e = self.entries[at] = ShareEntry(at, batch_job, item, rank)
-        e.delivery_count = self.restored_counts.pop(at, 0)
-        self.next_offset = max(self.next_offset, at + 1)
-        return e
+    def append(self, batch_job: BatchJob, item: Item, rank: int, offset: int | None = None) -> ShareEntry:
+        """Adds an entry, at the next offset or at the one that it had under an earlier leader."""
+        if offset is None or offset in self.entries or offset < self.start_offset:
+            offset = self.next_offset
+        entry = self.entries[offset] = ShareEntry(offset, batch_job, item, rank)
+        entry.delivery_count = self.restored_counts.pop(offset, 0)
+        self.next_offset = max(self.next_offset, offset + 1)
+        return entry
 
     def skip_final(self, offset: int) -> None:
-        """An offset whose entry was final before this leader came."""
+        """Passes over an offset whose entry became final under an earlier leader."""
         self.next_offset = max(self.next_offset, offset + 1)
         self.restored_counts.pop(offset, None)
-        self._advance()
+        self._advance_start()
 
     def free_locks(self) -> int:
-        """Locks that are left."""
+        """Returns how many more entries may be acquired now."""
         return self.max_locks - len(self.locked)
 
-    def acquire(self, e: ShareEntry, worker: str, now: float) -> None:
-        """Lock an Available entry for a worker; raises the delivery count."""
+    def acquire(self, entry: ShareEntry, worker: str, now: float) -> None:
+        """Locks an Available entry for a worker and raises its delivery count.
+
+        Raises:
+            InvalidTransitionError: The entry is not Available, or all locks are taken.
+        """
         if self.free_locks() <= 0:
             raise InvalidTransitionError(f"{self.partition}: all {self.max_locks} locks are taken")
-        self._move(e, "acquire")
-        e.delivery_count += 1
-        e.worker, e.locked_until, e.recalled = worker, now + self.lock_s, False
-        self.locked[e.offset] = e
-        self.end_offset = max(self.end_offset, e.offset + 1)
-
-    def held(self, offset: int, worker: str, delivery: int) -> ShareEntry:
-        """The entry of a settlement; InvalidTransitionError unless this worker holds this very acquisition."""
-        e = self.locked.get(offset)
-        if e is None or e.worker != worker or e.delivery_count != delivery:
-            raise InvalidTransitionError(f"{self.partition}@{offset}: not held by {worker} with delivery {delivery}")
-        return e
-
-    def acknowledge(self, offset: int, worker: str, delivery: int, kind: str) -> ShareEntry:
-        """accept, release or reject an entry."""
-        e = self.held(offset, worker, delivery)
-        self._move(e, kind)
-        return e
-
-    def release_lock(self, e: ShareEntry) -> None:
-        """Take a lock back: it ran out, or its worker is gone."""
-        self._move(e, "release")
-
-    def archive(self, e: ShareEntry, found: bool = False) -> None:
-        """No more runs of this entry: its lot ended, or it was found settled."""
-        if e.state not in FINAL:
-            self._move(e, "found" if found else "archive")
+        self._move(entry, "acquire")
+        entry.delivery_count += 1
+        entry.worker = worker
+        entry.locked_until = now + self.lock_s
+        entry.is_recalled = False
+        self.locked[entry.offset] = entry
+        self.end_offset = max(self.end_offset, entry.offset + 1)
+
+    def acquired_entry(self, offset: int, worker: str, delivery_count: int) -> ShareEntry:
+        """Returns the entry that an acknowledgement names.
+
+        Raises:
+            InvalidTransitionError: This worker does not hold this acquisition.
+        """
+        entry = self.locked.get(offset)
+        if entry is None or entry.worker != worker or entry.delivery_count != delivery_count:
+            raise InvalidTransitionError(
+                f"{self.partition}@{offset}: not acquired by {worker} with delivery count {delivery_count}"
+            )
+        return entry
+
+    def acknowledge(self, offset: int, worker: str, delivery_count: int, kind: str) -> ShareEntry:
+        """Accepts, releases or rejects an entry.
+
+        Args:
+            offset: The entry's offset.
+            worker: The worker that acknowledges.
+            delivery_count: The delivery count of its acquisition.
+            kind: An AcknowledgeType.
+
+        Returns:
+            The entry.
+
+        Raises:
+            InvalidTransitionError: The worker does not hold this acquisition.
+        """
+        entry = self.acquired_entry(offset, worker, delivery_count)
+        self._move(entry, kind)
+        return entry
+
+    def release_lock(self, entry: ShareEntry) -> None:
+        """Makes an acquired entry Available again, without its worker's acknowledgement."""
+        self._move(entry, "release")
+
+    def archive(self, entry: ShareEntry, found: bool = False) -> None:
+        """Makes an entry final without an acknowledgement: its batch job ended, or its result was found listed."""
+        if entry.state not in FINAL_STATES:
+            self._move(entry, "found" if found else "archive")
 
     def expired(self, now: float) -> list[ShareEntry]:
-        """Entries whose lock ran out. One that is being settled keeps it."""
-        return [e for e in self.locked.values() if now >= e.locked_until and not e.is_acknowledging]
+        """Returns the entries whose lock expired and that are not being acknowledged."""
+        return [entry for entry in self.locked.values() if now >= entry.locked_until and not entry.is_acknowledging]
--- a/archhatch/share_group/window_journal.py
+++ b/archhatch/share_group/window_journal.py
@@ -1,101 +1,195 @@
-"""Share-group state on disk (KIP-932's ShareSnapshot and ShareUpdate): full snapshots plus deltas, fenced by epochs."""
+"""Share-group state on disk: KIP-932's ShareSnapshot and ShareUpdate records, fenced by epochs."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
 import orjson
 
 from ..jobs import Record
 from ..runtime import encode_kept
+from ..runtime.message import Message, wire
 from .window import EntryState, SharePartition
 
-UPDATES_PER_SNAPSHOT = 32  # deltas after which a new snapshot is written
+if TYPE_CHECKING:
+    from ..runtime import Counters
+
+UPDATES_PER_SNAPSHOT = 32  # bounds the records that a new leader reads; a snapshot costs as much as a few updates
+SNAPSHOT_KIND = "S"
+UPDATE_KIND = "U"
+
+
+@dataclass(frozen=True, slots=True)
+class WindowState(Message):
+    """The body of a snapshot or update record.
+
+    Attributes:
+        start_offset: The window's start offset.
+        next_offset: The offset of the next entry.
+        batches: KIP-932's state batches: first offset, last offset, state, delivery count.
+    """
+
+    start_offset: int = wire("start", decode=int)
+    next_offset: int = wire("next", decode=int)
+    batches: list[list[int]] = wire("batches")
+
+
+@dataclass(frozen=True, slots=True)
+class WindowRecordHead(Message):
+    """The head of a snapshot or update record.
+
+    Attributes:
+        kind: SNAPSHOT_KIND or UPDATE_KIND.
+        job_id: Stands for the job id that other records have.
+        run: The run.
+        partition: The share partition.
+        leader_epoch: The term of the leader that wrote it.
+        snapshot_epoch: The number of the snapshot.
+        update_number: The number of the update behind its snapshot; 0 for the snapshot itself.
+    """
+
+    kind: str = wire("k")
+    job_id: str = wire("lot")
+    run: str = wire("run")
+    partition: str = wire("part")
+    leader_epoch: int = wire("term")
+    snapshot_epoch: int = wire("se")
+    update_number: int = wire("n")
+
 
+def state_batches(states: dict[int, tuple[int, int]]) -> list[list[int]]:
+    """Groups neighbouring offsets of the same state and delivery count.
 
-def state_batches(marks: dict) -> list:
-    """Runs of offsets with the same state and count: [[first, last, state, delivery_count], ...].
+    Args:
+        states: State and delivery count by offset.
+
+    Returns:
+        First offset, last offset, state and delivery count of each batch.
 
     >>> state_batches({0: (2, 1), 1: (2, 1), 3: (0, 2)})
     [[0, 1, 2, 1], [3, 3, 0, 2]]
     """
-    out: list = []
-    for off in sorted(marks):
-        state, count = marks[off]
-        if out and out[-1][1] == off - 1 and out[-1][2:] == [state, count]:
-            out[-1][1] = off
+    batches: list[list[int]] = []
+    for offset in sorted(states):
+        state, delivery_count = states[offset]
+        if batches and batches[-1][1] == offset - 1 and batches[-1][2:] == [state, delivery_count]:
+            batches[-1][1] = offset
         else:
-            out.append([off, off, state, count])
-    return out
+            batches.append([offset, offset, state, delivery_count])
+    return batches
+
+
+def _latest_state(found: Iterable[tuple[dict, bytes]]) -> tuple[int, list[bytes], bool] | None:
+    """Chooses the newest snapshot and the updates that follow it without a gap.
+
+    Args:
+        found: Head and body of records from several stores, in any order, duplicates included.
+
+    Returns:
+        The snapshot epoch, the bodies in their order, and whether updates behind a gap were left out; None without a
+        snapshot.
+    """
+    heads = [(WindowRecordHead.from_document(head), body) for head, body in found]
+    snapshots = [(head, body) for head, body in heads if head.kind == SNAPSHOT_KIND]
+    if not snapshots:
+        return None
+    newest, snapshot = max(snapshots, key=lambda pair: (pair[0].leader_epoch, pair[0].snapshot_epoch))
+    epochs = (newest.leader_epoch, newest.snapshot_epoch)
+    updates = {
+        head.update_number: body
+        for head, body in heads
+        if head.kind == UPDATE_KIND and (head.leader_epoch, head.snapshot_epoch) == epochs
+    }
+    bodies = [snapshot]
+    while len(bodies) in updates:
+        bodies.append(updates[len(bodies)])
+    return newest.snapshot_epoch, bodies, len(bodies) - 1 != len(updates)
 
 
 class WindowJournal:
-    """Makes the records of one window and reads them back.
+    """Writes the records of one share partition and reads them back.
 
-    >>> # record = journal.next_record(window); await replicator.replicate(run, epoch, [record])
+    >>> window, journal = SharePartition("m", 3, lock_s=30.0, max_locks=200), WindowJournal("r", "m")
+    >>> record = journal.next_record(window); record.head["k"], record.body
+    ('S', b'{"start":0,"next":0,"batches":[]}')
+    >>> journal.next_record(window) is None
+    True
+
+    Attributes:
+        run: The run.
+        partition: The share partition.
+        snapshot_epoch: The number of the last snapshot; 0 before the first.
+        update_number: The number of the last update behind that snapshot.
     """
 
-    def __init__(self, run: str, partition: str):
-        self.run, self.partition = run, partition
+    def __init__(self, run: str, partition: str) -> None:
+        self.run = run
+        self.partition = partition
         self.snapshot_epoch = 0
-        self.number = 0  # of the last delta behind the snapshot
-
-    def _rec(self, kind: str, epoch: int, doc: dict) -> Record:
-        head = {
-            "k": kind,
-            "lot": f"window|{self.partition}",
-            "run": self.run,
-            "part": self.partition,
-            "term": epoch,
-            "se": self.snapshot_epoch,
-            "n": self.number,
-        }
-        return Record(head, encode_kept(doc))
+        self.update_number = 0
+
+    def _record(self, kind: str, window: SharePartition, states: dict[int, tuple[int, int]]) -> Record:
+        head = WindowRecordHead(
+            kind=kind,
+            job_id=f"window|{self.partition}",
+            run=self.run,
+            partition=self.partition,
+            leader_epoch=window.epoch,
+            snapshot_epoch=self.snapshot_epoch,
+            update_number=self.update_number,
+        )
+        state = WindowState(window.start_offset, window.next_offset, state_batches(states))
+        return Record(head.to_document(), encode_kept(state.to_document()))
 
-    def next_record(self, win: SharePartition) -> Record | None:
-        """A snapshot when one is due, else a delta of what changed; None if nothing did."""
-        if not win.unsaved and self.snapshot_epoch:
+    def next_record(self, window: SharePartition) -> Record | None:
+        """Returns a snapshot when one is due, else an update; None if nothing changed since the last record."""
+        if not window.unsaved and self.snapshot_epoch:
             return None
-        if not self.snapshot_epoch or self.number >= UPDATES_PER_SNAPSHOT:
+        if not self.snapshot_epoch or self.update_number >= UPDATES_PER_SNAPSHOT:
             self.snapshot_epoch += 1
-            self.number = 0
-            marks = {
-                o: (int(EntryState.AVAILABLE), e.delivery_count) for o, e in win.entries.items() if e.delivery_count
+            self.update_number = 0
+            window.unsaved = {}
+            states = {
+                offset: (int(EntryState.AVAILABLE), entry.delivery_count)
+                for offset, entry in window.entries.items()
+                if entry.delivery_count
             }
-            win.unsaved = {}
-            return self._rec(
-                "S", win.epoch, {"start": win.start_offset, "next": win.next_offset, "batches": state_batches(marks)}
-            )
-        self.number += 1
-        marks, win.unsaved = win.unsaved, {}
-        return self._rec(
-            "U", win.epoch, {"start": win.start_offset, "next": win.next_offset, "batches": state_batches(marks)}
-        )
+            return self._record(SNAPSHOT_KIND, window, states)
+        self.update_number += 1
+        states = window.unsaved
+        window.unsaved = {}
+        return self._record(UPDATE_KIND, window, states)
 
-    def restore(self, win: SharePartition, found: list, counters) -> None:
-        """Load the newest snapshot among the records that stores told, then its deltas in order up to the first gap.
+    def restore(self, window: SharePartition, found: Iterable[tuple[dict, bytes]], counters: Counters) -> None:
+        """Loads the newest snapshot and its updates up to the first gap or damaged record.
 
-        found: [(head, body), ...] from several stores, in any order, doubles included.
+        Args:
+            window: The window to load; it has no entries yet.
+            found: Head and body of records from several stores, in any order, duplicates included.
+            counters: Counts missing and damaged records.
         """
-        snaps = [(h["term"], h["se"], h, b) for h, b in found if h["k"] == "S"]
-        if not snaps:
+        latest = _latest_state(found)
+        if latest is None:
             return
-        epoch, serial, head, body = max(snaps, key=lambda x: x[:2])
-        ups = {h["n"]: b for h, b in found if h["k"] == "U" and (h["term"], h["se"]) == (epoch, serial)}
-        docs = [body]
-        while len(docs) in ups:
-            docs.append(ups[len(docs)])
-        if len(docs) - 1 != len(ups):
-            counters.add("share.delta_missing")
-        for n, raw in enumerate(docs):
+        snapshot_epoch, bodies, has_gap = latest
+        if has_gap:
+            counters.add("share.update_missing")
+        for number, body in enumerate(bodies):
             try:
-                doc = orjson.loads(raw)
-                marks = [(int(a), int(b), int(s), int(c)) for a, b, s, c in doc["batches"]]
-                win.start_offset, win.next_offset = int(doc["start"]), max(win.next_offset, int(doc["next"]))
-            except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
-                counters.add("share.delta_damaged" if n else "share.snapshot_damaged")
+                state = WindowState.from_document(orjson.loads(body))
+                batches = [(int(a), int(b), int(s), int(c)) for a, b, s, c in state.batches]
+            except (KeyError, TypeError, ValueError):  # ValueError: of the JSON, the message or a number
+                counters.add("share.update_damaged" if number else "share.snapshot_damaged")
                 break
-            for first, last, _, count in marks:
-                for off in range(first, last + 1):
-                    win.restored_counts[off] = count
-        win.end_offset = win.start_offset
-        win.restored_counts = {o: c for o, c in win.restored_counts.items() if o >= win.start_offset}
-        self.snapshot_epoch = serial
+            window.start_offset = state.start_offset
+            window.next_offset = max(window.next_offset, state.next_offset)
+            for first, last, _, delivery_count in batches:
+                for offset in range(first, last + 1):
+                    window.restored_counts[offset] = delivery_count
+        window.end_offset = window.start_offset
+        window.restored_counts = {
+            offset: count for offset, count in window.restored_counts.items() if offset >= window.start_offset
+        }
+        self.snapshot_epoch = snapshot_epoch
--- a/archhatch/store/node.py
+++ b/archhatch/store/node.py
@@ -218,8 +218,6 @@
             out.update(value.get("tenures") or {})
         return out
 
-    tenures = leases  # the name that the share groups' workers use
-
     def models_of(self, run: str) -> list:
         """The models that are trained on a service."""
         return [m for m, s in self.plan.models().items() if s == run] if self.plan is not None else []
--- a/tests/capacity/test_capacity.py
+++ b/tests/capacity/test_capacity.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from archhatch.share_group import PartitionLeader
+from archhatch.share_group.acquisition import EntryAcquisition
 from archhatch.capacity import Fit, Measure, SizeError, Table, fit_line, read_size
 from archhatch.capacity import measure as measure_module
 from archhatch.capacity.command import SCALE, SLOPES, Capacity
@@ -363,7 +363,7 @@
         async with PROBES[name].make(8) as (function, _):
             await function()
 
-    monkeypatch.setattr(PartitionLeader, "_hand_out", lambda self, shard, seat, now: [])
+    monkeypatch.setattr(EntryAcquisition, "acquire_batch", lambda self, run, worker, now: [])
     with pytest.raises(ValueError, match="a batch of 0"):
         run(once())
 
--- a/tests/share_group/test_last_result.py
+++ b/tests/share_group/test_last_result.py
@@ -7,7 +7,7 @@
 import pytest
 
 from archhatch.share_group import PartitionLeader, EntryState
-from archhatch.share_group.leader import WorkerState
+from archhatch.share_group.led_partitions import WorkerState
 from archhatch.routing import RoutingTable
 from archhatch.runtime import StateBoard, Counters
 from archhatch.rollout_controller import Engines
@@ -77,7 +77,7 @@
     lead = PartitionLeader(store)
     lead.sync()
     shard = lead.runs["s"]
-    shard.workers["w"] = WorkerState("w", "life", heard=clock.now())
+    shard.workers["w"] = WorkerState("w", "life", last_poll_at=clock.now())
     win = shard.windows["m"]
     for e in list(win.entries.values()):
         win.acquire(e, "w", clock.now())
@@ -104,7 +104,7 @@
             for e in win.locked.values():
                 e.locked_until = 0.0
         elif meanwhile == "worker":
-            lead.store.alive = lambda sid: False
+            lead.host.alive = lambda sid: False
         if meanwhile != "nothing":
             lead.sync()
         leadership.gate.set()
--- a/tests/share_group/test_recalls.py
+++ b/tests/share_group/test_recalls.py
@@ -4,60 +4,53 @@
 
 import pytest
 
-from archhatch.share_group.led_partitions import RECALL
+from archhatch.runtime.counters import Counters
 from archhatch.share_group.job_queue import JobQueue
+from archhatch.share_group.led_partitions import LedPartitions, WorkerState
+from archhatch.share_group.messages import Cancellation, CancelReason
 from archhatch.share_group.recalls import Recalls
 from archhatch.share_group.window import SharePartition
-from archhatch.runtime.counters import Counters
+
+RECALLED = [Cancellation("m", 0, 1, CancelReason.RECALL)]
 
 
-def leader(elsewhere):
-    """A leader of one run, with an item of one lot at a replica that it should leave, and a free place elsewhere."""
-    batch_job = SimpleNamespace(job_id="lot1", host="h.example", path="/roll/x")
-    window = SharePartition("m", 1, lock_s=30.0, max_locks=200)
+def recalls(elsewhere):
+    """The recalls of a leader of one run, with an item at a replica that it should leave, and a free slot elsewhere."""
+    batch_job = SimpleNamespace(job_id="lot1", host="h.example", path="/roll/x", model="m")
+    leadership = SimpleNamespace(run="llm", batch_jobs={"lot1": batch_job})
+    run = LedPartitions(leadership, 0.0, lock_s=30.0, max_locks=200)
+    window = run.windows["m"] = SharePartition("m", 1, lock_s=30.0, max_locks=200)
+    run.queues["lot1"] = JobQueue(0)
+    run.workers["w1"] = WorkerState("w1", "incarnation")
     entry = window.append(batch_job, SimpleNamespace(item_id="0-0", group="0"), 0)
     window.acquire(entry, "w1", 0.0)
     entry.engine = SimpleNamespace(instance_id="i-1", zone="z1")
-    run = SimpleNamespace(
-        leadership=SimpleNamespace(run="llm", batch_jobs={"lot1": batch_job}),
-        queues={"lot1": JobQueue(0)},
-        windows={"m": window},
-    )
-    store = SimpleNamespace(
+    host = SimpleNamespace(
         counters=Counters(),
-        plan=SimpleNamespace(route=lambda host, path: "lane"),
+        plan=SimpleNamespace(route=lambda host, path: "route"),
         engines=SimpleNamespace(all={}),
         placement=SimpleNamespace(
             moves=SimpleNamespace(all=[SimpleNamespace(settling=True)]), leaves=lambda route, zone: zone == "z1"
         ),
         evacuation=SimpleNamespace(leads_elsewhere=lambda name: name in elsewhere),
     )
-    broken = []
-    return SimpleNamespace(
-        store=store,
-        slots=SimpleNamespace(free_slots_on=lambda run, routes: len(routes)),
-        runs={"llm": run},
-        break_off=lambda run, entry, why: broken.append((entry.offset, why)),
-        broken=broken,
-        entry=entry,
-    )
+    slots = SimpleNamespace(free_slots_on=lambda run, routes: len(routes))
+    return Recalls(host, {"llm": run}, slots), run, entry
 
 
-@pytest.mark.parametrize(
-    "elsewhere, broken", [(set(), [(0, RECALL)]), ({"quote"}, [(0, RECALL)]), ({"llm"}, [])], ids=str
-)
-def test_a_leader_that_is_to_hand_its_run_on_recalls_nothing(elsewhere, broken):
-    one = leader(elsewhere)
+@pytest.mark.parametrize("elsewhere, cancelled", [(set(), RECALLED), ({"quote"}, RECALLED), ({"llm"}, [])], ids=str)
+def test_a_leader_that_is_to_hand_its_run_on_recalls_nothing(elsewhere, cancelled):
+    it, run, entry = recalls(elsewhere)
     for _ in range(2):
-        Recalls(one).recall_for_moves()
-    assert one.broken == broken and one.entry.recalled is bool(broken)
+        it.recall_for_moves()
+    assert run.workers["w1"].cancellations == cancelled and entry.is_recalled is bool(cancelled)
 
 
 def test_what_one_leader_left_running_the_next_one_recalls():
     elsewhere = {"llm"}
-    one = leader(elsewhere)
-    Recalls(one).recall_for_moves()
-    assert not one.broken
+    it, run, _ = recalls(elsewhere)
+    it.recall_for_moves()
+    assert not run.workers["w1"].cancellations
     elsewhere.clear()
-    Recalls(one).recall_for_moves()
-    assert one.broken == [(0, RECALL)]
+    it.recall_for_moves()
+    assert run.workers["w1"].cancellations == RECALLED
--- a/tests/share_group/test_run_times.py
+++ b/tests/share_group/test_run_times.py
@@ -56,8 +56,8 @@
     )
     leadership = SimpleNamespace(run="s", batch_jobs={"lot": batch_job})
     it = PartitionLeader(store)
-    run = it.runs["s"] = LedPartitions(leadership, clock.now())
-    run.queues["lot"] = SimpleNamespace(wanted=lambda now: waiting > 0, waiting=[waiting, 0])
+    run = it.runs["s"] = LedPartitions(leadership, clock.now(), 30.0, 200)
+    run.queues["lot"] = SimpleNamespace(promote_delayed=lambda now: None, wanted_count=waiting, surplus_count=0)
     if took is not None:
         run.times.note("m", took)
     return it, leadership
@@ -68,7 +68,7 @@
     it, leadership = leader(took, waiting, full, age)
     assert it.lacks_replicas(leadership, "m") is short
     if full:
-        it.store.engines.all["e0"].running_items["m"] = 1  # a place is free
+        it.host.engines.all["e0"].running_items["m"] = 1  # a place is free
         assert it.lacks_replicas(leadership, "m") is False
 
 
--- a/tests/share_group/test_share_group.py
+++ b/tests/share_group/test_share_group.py
@@ -7,6 +7,8 @@
 from tests.support.standins import batch_job
 from tests.system.test_system import holder, world
 
+from archhatch.share_group.acquired_entry import WorkState
+from archhatch.share_group.messages import CancelReason
 from archhatch.rpc import CallRefusedError
 
 
@@ -189,11 +191,11 @@
             assert await w.hand_in("lot1", batch_job()) == 202
             rows = await w.read_all("lot1")
             lead = holder(w)
-            seat = next(iter(lead.leader.runs["llm"].workers.values()))
+            worker = next(iter(lead.leader.runs["llm"].workers.values()))
             good = {
                 "to": lead.id,
-                "worker": seat.worker,
-                "life": seat.incarnation,
+                "worker": worker.worker_id,
+                "life": worker.incarnation,
                 "zone": "z1",
                 "lag": 0.0,
                 "run": "llm",
@@ -380,7 +382,7 @@
                 "nothing",
                 lambda: (
                     sum(
-                        j.state == "scoring"
+                        j.state is WorkState.SCORING
                         for s in w.stores.values()
                         for d in s.worker.sessions.values()
                         for j in d.entries.values()
@@ -391,7 +393,7 @@
             lead = holder(w)
             shard = lead.leader.runs["llm"]
             for e in shard.windows["m"].locked.values():
-                lead.leader.break_off(shard, e, "recall")
+                shard.cancel(e, CancelReason.RECALL)
             lead.leader.notify_workers()
             await w.until(lead.state_board, "nothing", lambda: not any(s.cancellations for s in shard.workers.values()))
             w.replicas[2].mood.clear()
--- a/tests/share_group/test_window.py
+++ b/tests/share_group/test_window.py
@@ -168,8 +168,8 @@
 DAMAGE = [  # which records are spoilt or missing, how many deltas are still applied, what is counted
     (lambda rs: rs, 6, None),
     (lambda rs: rs[:-1], 5, None),
-    (lambda rs: [r for r in rs if r.head["n"] != 3], 2, "share.delta_missing"),
-    (lambda rs: [spoil(r) if r.head["n"] == 4 else r for r in rs], 3, "share.delta_damaged"),
+    (lambda rs: [r for r in rs if r.head["n"] != 3], 2, "share.update_missing"),
+    (lambda rs: [spoil(r) if r.head["n"] == 4 else r for r in rs], 3, "share.update_damaged"),
     (lambda rs: [spoil(r) if r.head["k"] == "S" else r for r in rs], 0, "share.snapshot_damaged"),
     (lambda rs: [r for r in rs if r.head["k"] != "S"], 0, None),
 ]
@@ -308,7 +308,9 @@
     q.put(e, front=True)
     q.forget_home("g0")
     assert q.take("b", False, 1.0).offset == 1 and q.take("b", False, 4.9) is None
-    assert q.take("b", False, 5.0) is e and q.homes["g0"] == "b" and not q.wanted(9.0)
+    assert q.take("b", False, 5.0) is e and q.homes["g0"] == "b"
+    q.promote_delayed(9.0)
+    assert q.wanted_count == 0
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -349,8 +351,10 @@
                 q.put(e, front=True)
         elif what == "write" and (record := j.next_record(w)) is not None:
             records.append(record)
-        waiting = sum(len(r) for r in q.groups.values()) + len(q.later)
-        assert waiting + len(w.locked) + len(done) == 30 and sum(q.waiting) == waiting - len(q.later)
+        waiting = sum(len(r) for r in q.groups.values()) + len(q.delayed)
+        assert waiting + len(w.locked) + len(done) == 30 and q.wanted_count + q.surplus_count == waiting - len(
+            q.delayed
+        )
         assert all(o in done for o in range(w.start_offset)) and w.start_offset not in done
     last = j.next_record(w)
     back, _ = restored(records + ([last] if last else []))
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -304,7 +304,7 @@
             assert len(rows) == 4 and all(x["OperState"] == "complete" for x in rows)
             for x in rows:
                 assert x["Text"].split("\n") == [f"{x['InstanceId']}/{n}" for n in (1, 2, 3, 4)]
-            assert sum(s.counters.counts["item.silent"] for s in w.stores.values()) >= 1  # at the worker that drove it
+            assert sum(s.counters.counts["item.timed_out"] for s in w.stores.values()) >= 1  # at its worker
             assert any(first == 3 for _, first, _ in w.replicas[1].runs)  # it went on behind what was there
         finally:
             w.replicas[0].gate.set()
