--- a/archhatch/capacity/probes/batch_jobs.py
+++ b/archhatch/capacity/probes/batch_jobs.py
@@ -143,7 +143,7 @@
             raise ValueError("a record has too few copies")
 
     yield function, 1
-    await settle("Replicator._here")
+    await settle("Replicator._append_here")
     await task_group.cancel_all()
     for k in kept:
         await k.close()
--- a/archhatch/capacity/probes/made.py
+++ b/archhatch/capacity/probes/made.py
@@ -169,7 +169,7 @@
 async def settle(name: str) -> None:
     """Wait for the tasks of a coroutine that goes on after the answer that it is for.
 
-    >>> # await settle("Replicator._here")
+    >>> # await settle("Replicator._append_here")
     """
     late = [t for t in asyncio.all_tasks() if t.get_coro().__qualname__.endswith(name)]
     if late:
--- a/archhatch/jobs/__init__.py
+++ b/archhatch/jobs/__init__.py
@@ -1,10 +1,11 @@
-"""Lots and their results, as stores keep them."""
+"""Batch jobs and their results, as stores keep them."""
 
-from .batch_job import InvalidJobError, Item, BatchJob, check_job, read_job
+from .batch_job import BatchJob, Item, check_job, read_job
+from .errors import DeposedError, InvalidJobError
 from .quorum import Quorum, active_members
 from .record import Record, pack, unpack
 from .record_store import RecordStore
-from .replicator import Replicator, DeposedError
+from .replicator import Replicator
 
 __all__ = [
     "BatchJob",
--- a/archhatch/jobs/batch_job.py
+++ b/archhatch/jobs/batch_job.py
@@ -1,4 +1,4 @@
-"""A lot as it was handed in, its items, and what is listed of it."""
+"""A batch job as it was handed in, its items, and what is listed of it."""
 
 from __future__ import annotations
 
@@ -6,9 +6,12 @@
 import binascii
 import re
 from dataclasses import dataclass, field
+from typing import Any
 
 import orjson
 
+from .errors import InvalidJobError
+from .record import Record
 
 # A target in origin form (RFC 9112): visible ASCII without a fragment, and not beginning as a network path does.
 _PATH = re.compile(r"/(?!/)[\x21\x22\x24-\x7e]*", re.ASCII)
@@ -18,16 +21,25 @@
 PAGE_BYTES = 300_000  # of results that one answer holds: each is copied a few times on its way
 
 
-class InvalidJobError(Exception):
-    """A lot that cannot be read: no item of it runs."""
-
-
 @dataclass(slots=True)
 class Item:
+    """One request of a job, which one replica runs.
+
+    Attributes:
+        item_id: The id that its request bears.
+        at: Its place among the job's items, from 0.
+        path: The target of its request.
+        heads: The headers of its request, as (name, value).
+        payload: The body of its request in base64.
+        group: Items of one group share a prompt.
+        tokens: How many tokens its answer is reckoned to take; 0 where that is not said.
+        scorer: The request of its reward call; None if its results are not scored.
+    """
+
     item_id: str
     at: int
     path: str
-    heads: list
+    heads: list[tuple[str, str]]
     payload: str
     group: str
     tokens: int
@@ -39,19 +51,30 @@
         raise InvalidJobError(why)
 
 
-def _payload(value, where: str) -> None:
-    _need(isinstance(value, str), f"{where}: Payload must be base64 text")
+def _check_payload(value: object, where: str) -> None:
+    if not isinstance(value, str):
+        raise InvalidJobError(f"{where}: Payload must be base64 text")
     try:
         base64.b64decode(value, validate=True)
-    except (binascii.Error, ValueError) as e:
-        raise InvalidJobError(f"{where}: Payload: {e}") from e
+    except (binascii.Error, ValueError) as error:
+        raise InvalidJobError(f"{where}: Payload: {error}") from error
 
 
 def check_job(job_id: str, body: bytes) -> str:
-    """The model of a lot whose bytes are whole and sound; InvalidJobError otherwise.
+    """Checks a job as it comes in.
+
+    Args:
+        job_id: The id that its request bears.
+        body: The job's document.
+
+    Returns:
+        The model that it is for.
+
+    Raises:
+        InvalidJobError: Something of it is missing or wrong.
 
     >>> try: check_job("a", b"{}")
-    ... except InvalidJobError as e: print(e)
+    ... except InvalidJobError as error: print(error)
     Model must be text
     """
     _need(bool(job_id), "X-Archhatch-Request-Id is missing")
@@ -60,79 +83,98 @@
 
 @dataclass(slots=True)
 class ParsedJob:
-    """A lot's document, read field by field."""
+    """A job's document, read field by field.
+
+    Attributes:
+        model: The model whose samples are wanted.
+        train_step: The trainer's step that the samples are for.
+        desired_count: How many groups are wanted before the others may be late; 0 for all.
+        min_revision: The lowest version of the model that may make them.
+        items: The items by id, in their order.
+    """
 
     model: str
-    step: int
-    want: int
-    least: int
-    items: dict  # item id -> Item, in their order
+    train_step: int
+    desired_count: int
+    min_revision: int
+    items: dict[str, Item]
 
 
 def parse_job(body: bytes, strict: bool) -> ParsedJob:
-    """Read a lot's document; InvalidJobError names the first field that is wrong.
+    """Reads a job's document.
 
-    strict: what would go to a replica as it stands (paths, headers, payloads) is checked as well. A lot that is read
-    from a record was checked when it came in; what an earlier release took must still be readable.
+    Args:
+        body: The document.
+        strict: Whether what would go to a replica as it stands (paths, headers, payloads) is checked as well. A job
+            that is read from a record was checked when it came in; what an earlier release took must still be readable.
+
+    Raises:
+        InvalidJobError: Names the first field that is wrong.
     """
     try:
-        doc = orjson.loads(body)
-    except orjson.JSONDecodeError as e:
-        raise InvalidJobError(str(e)) from e
-    _need(isinstance(doc, dict), "must be one JSON object")
-    _need(isinstance(doc.get("Model"), str), "Model must be text")
-    step, want, least = (_count(doc, name, name) for name in ("TrainStep", "DesiredCount", "MinRevision"))
-    rows = doc.get("Entries")
+        document = orjson.loads(body)
+    except orjson.JSONDecodeError as error:
+        raise InvalidJobError(str(error)) from error
+    _need(isinstance(document, dict), "must be one JSON object")
+    _need(isinstance(document.get("Model"), str), "Model must be text")
+    train_step = _count(document, "TrainStep", "TrainStep")
+    desired_count = _count(document, "DesiredCount", "DesiredCount")
+    min_revision = _count(document, "MinRevision", "MinRevision")
+    rows = document.get("Entries")
     _need(isinstance(rows, list) and bool(rows), "Entries must list items")
-    items: dict = {}
-    for n, row in enumerate(rows):
-        item = _item(row, n, strict)
-        _need(item.item_id not in items, f"Entries[{n}]: InstanceId is missing or twice")
+    items: dict[str, Item] = {}
+    for index, row in enumerate(rows):
+        item = _read_item(row, index, strict)
+        _need(item.item_id not in items, f"Entries[{index}]: InstanceId is missing or twice")
         items[item.item_id] = item
-    return ParsedJob(doc["Model"], step, want, least, items)
+    return ParsedJob(document["Model"], train_step, desired_count, min_revision, items)
 
 
-def _item(row: object, n: int, strict: bool) -> Item:
-    where = f"Entries[{n}]"
+def _read_item(row: Any, index: int, strict: bool) -> Item:  # noqa: ANN401 - any JSON; it is checked here
+    where = f"Entries[{index}]"
     _need(isinstance(row, dict), f"{where} must be an object")
-    iid, path, payload = row.get("InstanceId"), row.get("Path"), row.get("Payload", "")
-    _need(isinstance(iid, str) and bool(iid), f"{where}: InstanceId is missing or twice")
+    item_id = row.get("InstanceId")
+    path = row.get("Path")
+    payload = row.get("Payload", "")
+    _need(isinstance(item_id, str) and bool(item_id), f"{where}: InstanceId is missing or twice")
     _need(isinstance(path, str) and path.startswith("/"), f"{where}: Path is wrong")
     heads = row.get("HeaderMap") or {}
     _need(isinstance(heads, dict), f"{where}: HeaderMap is wrong")
-    group, scorer = row.get("GroupId", n), row.get("ScorerUrl")
+    group = row.get("GroupId", index)
+    scorer = row.get("ScorerUrl")
     _need(isinstance(group, (str, int)), f"{where}: GroupId must be text")
     _need(scorer is None or _names_request(scorer), f"{where}: ScorerUrl is wrong")
     if strict:
-        _check_sendable(where, iid, path, heads, payload)
+        _check_sendable(where, item_id, path, heads, payload)
         if scorer is not None:
             scorer_heads = {"Host": scorer["HostName"]}
             _check_sendable(
                 where + ".ScorerUrl", scorer["InstanceId"], scorer["Path"], scorer_heads, scorer.get("Payload", "")
             )
     tokens = _count(row, "TokenCount", f"{where}: TokenCount")
-    return Item(iid, n, path, list(heads.items()), payload, str(group), tokens, scorer)
+    return Item(item_id, index, path, list(heads.items()), payload, str(group), tokens, scorer)
 
 
 def _names_request(scorer: object) -> bool:
+    """Whether a reward call says where it goes."""
     return isinstance(scorer, dict) and all(
         isinstance(scorer.get(name), str) and scorer[name] for name in ("InstanceId", "HostName", "Path")
     )
 
 
-def _check_sendable(where: str, iid: str, path: str, heads: dict, payload: object) -> None:
-    """Refuse what could not go out as an HTTP request, or would go out as another one than it seems."""
-    _need(bool(_HEADER_VALUE.fullmatch(iid)), f"{where}: InstanceId is wrong")
+def _check_sendable(where: str, item_id: str, path: str, heads: dict, payload: object) -> None:
+    """Refuses what could not go out as an HTTP request, or would go out as another one than it seems."""
+    _need(bool(_HEADER_VALUE.fullmatch(item_id)), f"{where}: InstanceId is wrong")
     _need(bool(_PATH.fullmatch(path)), f"{where}: Path is wrong")
     for name, value in heads.items():
         good = _HEADER_NAME.fullmatch(name) and isinstance(value, str) and _HEADER_VALUE.fullmatch(value)
         _need(bool(good), f"{where}: HeaderMap is wrong")
-    _payload(payload, where)
+    _check_payload(payload, where)
 
 
-def _count(doc: dict, name: str, where: str) -> int:
+def _count(document: dict, name: str, where: str) -> int:
     """A whole number that is not negative; 0 where there is none."""
-    value = doc.get(name)
+    value = document.get(name)
     if value is None:
         return 0
     _need(isinstance(value, int) and not isinstance(value, bool) and value >= 0, f"{where} must be a whole number")
@@ -141,7 +183,27 @@
 
 @dataclass
 class BatchJob:
-    """A lot in hand: items by id, results by position."""
+    """A job in hand: items by id, results by position.
+
+    Attributes:
+        job_id: The id that its request bore.
+        run: The run that it belongs to: the service whose replicas make its samples.
+        model: The model whose samples are wanted; it names the partition of the step log, too.
+        host: The host that it was sent to, and with path its route.
+        total: How many items it has.
+        train_step: The trainer's step that the samples are for.
+        desired_count: How many groups are wanted before the others may be late; 0 for all.
+        min_revision: The lowest version of the model that may make them.
+        items: The items by id; empty once it is ended.
+        records: Every record of it, the job's own first.
+        results: The records of results by position.
+        listed_count: How many results are listed: those have enough copies, and all before them.
+        positioned_items: Items that have a position.
+        accepted_at: When it was accepted.
+        ended_at: When it ended; 0.0 before.
+        tenant: Whose items they are; None where no key is asked for.
+        base_offset: The offset of its first item in the partition of its model.
+    """
 
     job_id: str
     run: str
@@ -152,27 +214,33 @@
     train_step: int
     desired_count: int
     min_revision: int
-    items: dict
-    records: list = field(default_factory=list)  # every record of it, the lot's own first
-    results: list = field(default_factory=list)  # R records by position
+    items: dict[str, Item]
+    records: list[Record] = field(default_factory=list)
+    results: list[Record] = field(default_factory=list)
     listed_count: int = 0
-    positioned_items: set = field(default_factory=set)  # items that have a position
+    positioned_items: set[str] = field(default_factory=set)
     is_ended: bool = False
     accepted_at: float = 0.0
     ended_at: float = 0.0
-    tenant: str | None = None  # whose items they are; None where no key is asked for
-    base_offset: int = 0  # offset of its first item in the partition of its model
+    tenant: str | None = None
+    base_offset: int = 0
 
     def release_items(self) -> None:
-        """It is ended: nobody asks for its items' bodies any more, and they are most of what it takes in memory."""
+        """Drops the items of an ended job: nobody asks for their bodies, and they are most of its memory."""
         self.items = {}
 
-    def page(self, after: int, most: int = PAGE_BYTES) -> tuple[list, int]:
-        """Listed results from a position on, up to about most bytes.
+    def page(self, after: int, most: int = PAGE_BYTES) -> tuple[list[bytes], int]:
+        """Returns a page of listed results.
 
-        >>> # rows, nxt = batch_job.page(12)
+        Args:
+            after: The position from which on they are wanted.
+            most: About how many bytes it may hold; one result is given also if it is longer.
+
+        Returns:
+            The results' bodies, and the position behind the last.
         """
-        rows, size = [], 0
+        rows: list[bytes] = []
+        size = 0
         for record in self.results[after : self.listed_count]:
             if rows and size + len(record.body) > most:
                 break
@@ -182,19 +250,28 @@
 
 
 def read_job(head: dict, body: bytes, accepted_at: float) -> BatchJob:
-    """A Lot from its record."""
-    doc = parse_job(body, strict=False)
+    """Returns the job of a record.
+
+    Args:
+        head: The record's head.
+        body: The job's document.
+        accepted_at: When it was accepted.
+
+    Raises:
+        InvalidJobError: The document is wrong.
+    """
+    parsed = parse_job(body, strict=False)
     return BatchJob(
         head["lot"],
         head["run"],
-        doc.model,
+        parsed.model,
         head["host"],
         head["path"],
-        len(doc.items),
-        doc.step,
-        doc.want,
-        doc.least,
-        doc.items,
+        len(parsed.items),
+        parsed.train_step,
+        parsed.desired_count,
+        parsed.min_revision,
+        parsed.items,
         accepted_at=accepted_at,
         tenant=head.get("tenant"),
         base_offset=int(head.get("base", 0)),
--- a/archhatch/jobs/quorum.py
+++ b/archhatch/jobs/quorum.py
@@ -2,17 +2,28 @@
 
 from __future__ import annotations
 
+from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
 
+from ..runtime import Settings
+
 
 @dataclass(frozen=True)
 class Quorum:
-    """Counts sets of stores. members: id -> {"zone", "state", ...}; a set counts only as far as its stores are members.
+    """Counts sets of stores; a set counts only as far as its stores are members.
 
     Copies are enough when they outlive the loss of any `machines` stores, of any `zones` zones, and of any `regions`
     regions. A gather has heard enough when those that it did not hear could not have had enough copies between them;
     so any enough copies and any gather share a store.
 
+    `members` is the register's document of the stores by id, each with its "zone" and "state".
+
+    Attributes:
+        machines: How many stores may be lost at once.
+        zones: How many zones may be lost at once.
+        regions: How many regions may be lost at once.
+        region_of: The region of each zone; a zone that is not listed is a region of its own.
+
     >>> q = Quorum(1); three = {s: {"zone": "z", "state": "active"} for s in "abc"}
     >>> q.has_enough_copies({"a"}, three), q.has_enough_copies({"a", "b"}, three)
     (False, True)
@@ -27,45 +38,42 @@
     machines: int = 1
     zones: int = 0
     regions: int = 0
-    region_of: dict = field(default_factory=dict)  # zone -> region
+    region_of: dict[str, str] = field(default_factory=dict)
 
     @classmethod
-    def from_settings(cls, settings) -> Quorum:
-        """As the settings have it.
-
-        >>> # Quorum.from_settings(settings).machines == settings.tolerated_machines
-        """
+    def from_settings(cls, settings: Settings) -> Quorum:
+        """Returns the quorum that the settings ask for."""
         regions = settings.zones if settings.tolerated_regions else {}
         return cls(settings.tolerated_machines, settings.tolerated_zones, settings.tolerated_regions, regions)
 
     @classmethod
-    def from_document(cls, doc: dict | None) -> Quorum:
-        """From what doc() made; one machine if nothing is said.
+    def from_document(cls, document: dict | None) -> Quorum:
+        """Reads what to_document() made; one machine if nothing is said.
 
         >>> Quorum.from_document(Quorum(2).to_document()) == Quorum(2), Quorum.from_document(None).machines
         (True, 1)
         """
-        return cls(**doc) if doc else cls()
+        return cls(**document) if document else cls()
 
     def to_document(self) -> dict:
-        """For the arguments of a command, which must not hang on the settings of the node that runs it."""
+        """Returns it for the arguments of a command, which must not hang on the settings of the node that runs it."""
         return {"machines": self.machines, "zones": self.zones, "regions": self.regions, "region_of": self.region_of}
 
-    def has_enough_copies(self, stores, members: dict) -> bool:
-        """Whether copies on these stores outlive what may be lost."""
-        have = [s for s in stores if s in members]
+    def has_enough_copies(self, stores: Iterable[str], members: dict) -> bool:
+        """Returns whether copies on these stores outlive what may be lost."""
+        holders = [sid for sid in stores if sid in members]
         return (
-            len(have) > self.machines
-            and len(self._zones(have, members)) > self.zones
-            and len(self._regions(have, members)) > self.regions
+            len(holders) > self.machines
+            and len(self._zones(holders, members)) > self.zones
+            and len(self._regions(holders, members)) > self.regions
         )
 
-    def has_heard_enough(self, stores, members: dict) -> bool:
-        """Whether any enough copies must stand on one of these stores too."""
-        return bool(members) and not self.has_enough_copies([s for s in members if s not in stores], members)
+    def has_heard_enough(self, stores: Collection[str], members: dict) -> bool:
+        """Returns whether any enough copies must stand on one of these stores too."""
+        return bool(members) and not self.has_enough_copies([sid for sid in members if sid not in stores], members)
 
     def tolerates_losses(self, members: dict) -> bool:
-        """Whether these members can lose what may be lost and still take records.
+        """Returns whether these members can lose what may be lost and still take records.
 
         >>> five = {s: {"zone": "z"} for s in "abcde"}
         >>> [quorum.tolerates_losses(five) for quorum in (Quorum(2), Quorum(3), Quorum(2, zones=1))]
@@ -77,48 +85,62 @@
             and len(self._regions(members, members)) > 2 * self.regions
         )
 
-    def choose_copies(self, order: list, held, members: dict) -> list:
-        """The fewest of order that make held enough, if they can: first the ones whose zone or region is lacking, then
-        other zones before the same, then as they stand in order.
+    def choose_copies(self, order: list[str], held: Iterable[str], members: dict) -> list[str]:
+        """Chooses the fewest stores that make the copies enough, if any can.
+
+        First come those whose zone or region is lacking, then other zones before the same, then as they stand in order.
+
+        Args:
+            order: The stores that may be chosen, the preferred ones first.
+            held: The stores that have a copy.
+            members: The stores that count.
 
         >>> m = {"a": {"zone": "x"}, "b": {"zone": "x"}, "c": {"zone": "y"}}
         >>> Quorum(1).choose_copies(["b", "c"], {"a"}, m), Quorum(1).choose_copies(["b", "c"], {"a", "b"}, m)
         (['c'], [])
         """
-        have, out = [s for s in held if s in members], []
-        left = [s for s in order if s in members and s not in have]
-        while left and not self.has_enough_copies(have, members):
-            zones, regions = self._zones(have, members), self._regions(have, members)
-            fit = []
-            if len(regions) <= self.regions:
-                fit = [s for s in left if self._region(s, members) not in regions]
-            if not fit and len(zones) <= self.zones:
-                fit = [s for s in left if members[s]["zone"] not in zones]
-            if not fit and len(have) <= self.machines:
-                fit = left
-            if not fit:
+        holders = [sid for sid in held if sid in members]
+        left = [sid for sid in order if sid in members and sid not in holders]
+        chosen: list[str] = []
+        while left and not self.has_enough_copies(holders, members):
+            zones = self._zones(holders, members)
+            candidates = self._candidates(left, holders, members)
+            if not candidates:
                 break  # what is lacking cannot be had from these
-            best = next((s for s in fit if members[s]["zone"] not in zones), fit[0])
+            best = next((sid for sid in candidates if members[sid]["zone"] not in zones), candidates[0])
             left.remove(best)
-            have.append(best)
-            out.append(best)
-        return out
+            holders.append(best)
+            chosen.append(best)
+        return chosen
+
+    def _candidates(self, left: list[str], holders: list[str], members: dict) -> list[str]:
+        """Those of the stores left that bring what the holders lack most: a region, a zone, or a machine."""
+        zones = self._zones(holders, members)
+        regions = self._regions(holders, members)
+        candidates: list[str] = []
+        if len(regions) <= self.regions:
+            candidates = [sid for sid in left if self._region(sid, members) not in regions]
+        if not candidates and len(zones) <= self.zones:
+            candidates = [sid for sid in left if members[sid]["zone"] not in zones]
+        if not candidates and len(holders) <= self.machines:
+            candidates = left
+        return candidates
 
     def _region(self, sid: str, members: dict) -> str:
         zone = members[sid]["zone"]
         return self.region_of.get(zone, zone)
 
-    def _zones(self, stores, members: dict) -> set:
-        return {members[s]["zone"] for s in stores}
+    def _zones(self, stores: Iterable[str], members: dict) -> set[str]:
+        return {members[sid]["zone"] for sid in stores}
 
-    def _regions(self, stores, members: dict) -> set:
-        return {self._region(s, members) for s in stores}
+    def _regions(self, stores: Iterable[str], members: dict) -> set[str]:
+        return {self._region(sid, members) for sid in stores}
 
 
 def active_members(members: dict) -> dict:
-    """Those that may take records; a leaving one is asked as long as it is a member, but no new copy counts on it.
+    """Returns those that may take records; a leaving one is asked while it is a member, but no new copy counts on it.
 
     >>> list(active_members({"a": {"state": "active"}, "b": {"state": "leaving"}}))
     ['a']
     """
-    return {s: m for s, m in members.items() if m["state"] == "active"}
+    return {sid: member for sid, member in members.items() if member["state"] == "active"}
--- a/archhatch/jobs/record_store.py
+++ b/archhatch/jobs/record_store.py
@@ -1,4 +1,4 @@
-"""What one store keeps, and the way of a record to the disk: nothing counts, or is told, before its sync returned.
+"""What one store keeps: nothing counts, or is told to others, before its sync has returned.
 
 A record that is being written is only known to be on its way. Whoever brings the same one meanwhile waits for that
 very write and shares its fate: if it fails, neither is acknowledged, and the next try writes anew.
@@ -14,53 +14,58 @@
 import asyncio
 from dataclasses import dataclass
 
-from ..wal import LogError
+from ..runtime import Clock, Counters
+from ..wal import LogError, WriteAheadLog
 from .record import Kind, Record, identity_head, pack, promise_head
 from .record_state import RecordState
 
-RESERVE = 1 / 8  # of the disk: kept free of new lots, for promises, results and ends
-REWRITE_FROM = 8 << 20  # a shorter log is not worth a rewrite
+RESERVE = 1 / 8  # of the disk: kept free of new jobs, for promises, results and ends
+REWRITE_FROM_BYTES = 8 << 20  # a shorter log is not worth a rewrite
 REWRITE_RATIO = 2  # of the log's size to what it must keep: a longer one is rewritten
-CRAMPED_RATIO = 5 / 4  # the same while the disk has no room for new lots
+CRAMPED_RATIO = 5 / 4  # the same while the disk has no room for new jobs
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _Entry:
     """A record, and the term of the holder that brings it."""
 
-    by: int
+    term: int
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
-class _Coming:
+class _Write:
     """A record on its way to the disk, and the write that carries it."""
 
     record: Record
-    write: asyncio.Task
+    task: asyncio.Task
 
 
 class RecordStore(RecordState):
-    """All records on this store.
+    """All records on this store, and their way to its disk.
 
     >>> # store = RecordStore(log, clock, counters); store.load(log.load()); taken = await store.append(records)
     """
 
-    def __init__(self, wal, clock, counters):
+    def __init__(self, wal: WriteAheadLog, clock: Clock, counters: Counters) -> None:
         super().__init__(clock)
-        self.wal, self.counters = wal, counters
-        self._coming: dict[tuple, _Coming] = {}
+        self.wal = wal
+        self.counters = counters
+        self._in_flight: dict[tuple | None, _Write] = {}
         wal.snapshot = self.snapshot
 
     # -- identity
 
     async def take_id(self, new: str) -> None:
-        """Be known by this id, once it is on the disk."""
+        """Makes this the id of the store, once it is on the disk."""
         await self.wal.append(pack(Record(identity_head(new))))
         self.id = new
 
     async def reset(self, new: str) -> None:
-        """Be empty under another id, once the disk is; until then, and after a LogError, all is as before."""
+        """Empties the store and gives it another id, once the disk has it.
+
+        Until then, and after a LogError, all is as before.
+        """
         await self.wal.rewrite(lambda: [pack(Record(identity_head(new)))])
         self._clear()
         self.id = new
@@ -68,31 +73,46 @@
     # -- terms
 
     async def prepare(self, run: str, term: int) -> dict:
-        """Promise a run's new holder to take nothing from older ones; tells what is here of the run."""
+        """Promises a run's new holder to take nothing from older ones.
+
+        Returns:
+            The answer to the holder: `ok` and what is here of the run, or the higher term that was promised.
+        """
         if term > self.promised_terms.get(run, 0):
             await self._keep(_Entry(term, Record(promise_head(run, term))))
         if term < self.promised_terms.get(run, 0):
-            self.counters.add("shelf.prepare_refused")
+            self.counters.add("record_store.prepare_refused")
             return {"ok": False, "promised": self.promised_terms[run]}
         return {"ok": True, **self.describe_run(run)}
 
     async def _keep(self, entry: _Entry) -> None:
-        """Have a record on the disk, by a write that is under way if there is one."""
-        coming = self._on_its_way(entry.record)
-        await asyncio.shield(coming.write if coming else self._write([entry]))
+        """Has a record on the disk, by a write that is under way if there is one."""
+        coming = self._write_of(entry.record)
+        await asyncio.shield(coming.task if coming else self._write([entry]))
 
     # -- records
 
-    async def append(self, records: list) -> list:
-        """Take records, each under its run's term (`by` in its head). For each: True if it, or one as good, is synced
-        here; False if its run was promised to a higher term; None if it is a new lot and the disk lacks the room."""
+    async def append(self, records: list[Record]) -> list[bool | None]:
+        """Takes records, each under its run's term (`by` in its head).
+
+        Returns:
+            For each: True if it, or one as good, is synced here; False if its run was promised to a higher term; None
+            if it is a new job and the disk lacks the room.
+
+        Raises:
+            LogError: A write failed; nothing of it counts.
+        """
         entries = [
-            _Entry(record.head["by"], Record({k: v for k, v in record.head.items() if k != "by"}, record.body))
+            _Entry(
+                record.head["by"],
+                Record({key: value for key, value in record.head.items() if key != "by"}, record.body),
+            )
             for record in records
         ]
         verdicts: dict[_Entry, bool | None] = {}
         while len(verdicts) < len(entries):
-            fresh, writes = [], {}  # writes in their order, each once
+            fresh: list[_Entry] = []
+            writes: dict[asyncio.Task, bool] = {}  # in their order, each once
             for entry in entries:
                 if entry not in verdicts:
                     self._sort(entry, verdicts, fresh, writes)
@@ -104,49 +124,50 @@
         return [verdicts[entry] for entry in entries]
 
     def _sort(self, entry: _Entry, verdicts: dict, fresh: list, writes: dict) -> None:
-        """Say at once what becomes of a record, have it written, or wait for the write that carries it already."""
+        """Says at once what becomes of a record, has it written, or waits for the write that carries it already."""
         promised = self.promised_terms.get(entry.record.head["run"], 0)
-        standing = self.supersedes(entry.record)
-        coming = None if standing else self._on_its_way(entry.record)
-        if entry.by < promised:
-            self.counters.add("shelf.stale_term")
+        is_here = self.supersedes(entry.record)
+        coming = None if is_here else self._write_of(entry.record)
+        if entry.term < promised:
+            self.counters.add("record_store.stale_term")
             verdicts[entry] = False
-        elif standing and entry.by == promised:
+        elif is_here and entry.term == promised:
             verdicts[entry] = True
         elif coming:
-            writes[coming.write] = True
-        elif entry.record.head["k"] == Kind.JOB and not standing and not self.has_room(len(entry.record.body)):
-            self.counters.add("shelf.no_room")
+            writes[coming.task] = True
+        elif entry.record.head["k"] == Kind.JOB and not is_here and not self.has_room(len(entry.record.body)):
+            self.counters.add("record_store.no_room")
             verdicts[entry] = None
         else:
             fresh.append(entry)
 
-    def _on_its_way(self, record: Record) -> _Coming | None:
-        coming = self._coming.get(record.place())
+    def _write_of(self, record: Record) -> _Write | None:
+        coming = self._in_flight.get(record.place())
         return coming if coming and coming.record.rank() >= record.rank() else None
 
     # -- the way to the disk
 
     def _write(self, entries: list[_Entry]) -> asyncio.Task:
-        """Begin to write records; goes on whatever becomes of those who wait for it."""
+        """Begins to write records; goes on whatever becomes of those who wait for it."""
         write = asyncio.get_running_loop().create_task(self._carry(entries))
         write.add_done_callback(self._count_failure)
         for entry in entries:
             if entry.record.place() is not None:
-                self._coming[entry.record.place()] = _Coming(entry.record, write)
+                self._in_flight[entry.record.place()] = _Write(entry.record, write)
         return write
 
     def _count_failure(self, write: asyncio.Task) -> None:
         if not write.cancelled() and write.exception() is not None:
-            self.counters.add("shelf.write_failed")
+            self.counters.add("record_store.write_failed")
 
     async def _carry(self, entries: list[_Entry]) -> list[bool]:
-        raws, terms = [], {}
+        raws: list[bytes] = []
+        terms: dict[str, int] = {}
         for entry in entries:
             run = entry.record.head["run"]
-            if entry.by > max(self.promised_terms.get(run, 0), terms.get(run, 0)):
-                terms[run] = entry.by
-                raws.append(pack(Record(promise_head(run, entry.by))))
+            if entry.term > max(self.promised_terms.get(run, 0), terms.get(run, 0)):
+                terms[run] = entry.term
+                raws.append(pack(Record(promise_head(run, entry.term))))
             if entry.record.head["k"] != Kind.PROMISE and not self.supersedes(entry.record):
                 raws.append(pack(entry.record))
         try:
@@ -155,20 +176,20 @@
             self._arrived(entries, asyncio.current_task())
         return [self._count(entry) for entry in entries]  # no await in between: the log relies on it
 
-    def _arrived(self, entries: list[_Entry], write: asyncio.Task) -> None:
+    def _arrived(self, entries: list[_Entry], write: asyncio.Task | None) -> None:
         """A write ended, well or not: its records are no longer on their way."""
         for entry in entries:
-            coming = self._coming.get(entry.record.place())
-            if coming is not None and coming.write is write:
-                del self._coming[entry.record.place()]
+            coming = self._in_flight.get(entry.record.place())
+            if coming is not None and coming.task is write:
+                del self._in_flight[entry.record.place()]
 
     def _count(self, entry: _Entry) -> bool:
         """A record is on the disk: from now on it counts, unless its run went to a higher term meanwhile."""
         run = entry.record.head["run"]
-        if entry.by < self.promised_terms.get(run, 0):
-            self.counters.add("shelf.overtaken")
+        if entry.term < self.promised_terms.get(run, 0):
+            self.counters.add("record_store.overtaken")
             return False
-        self._promise(run, entry.by)
+        self._promise(run, entry.term)
         if entry.record.head["k"] != Kind.PROMISE and not self.supersedes(entry.record):
             self.apply(entry.record)
         return True
@@ -176,25 +197,28 @@
     # -- space
 
     def can_admit(self, job_id: str, size: int) -> bool:
-        """Whether a lot may be taken: it is here or on its way, or there is room for it."""
-        return job_id in self.batch_jobs or (Kind.JOB, job_id) in self._coming or self.has_room(size)
+        """Returns whether a job may be taken: it is here or on its way, or there is room for it."""
+        return job_id in self.batch_jobs or (Kind.JOB, job_id) in self._in_flight or self.has_room(size)
 
     def has_room(self, more: int) -> bool:
-        """Whether a lot of so many bytes leaves the reserve, and room for a rewrite of all that is kept."""
+        """Returns whether a job of so many bytes leaves the reserve, and room for a rewrite of all that is kept."""
         if not self.wal.limit_bytes:
             return True
         return self.wal.free_bytes() - more >= self.wal.limit_bytes * RESERVE + self.size() + more
 
     def wants_rewrite(self) -> bool:
-        """Whether the log is much longer than what it must keep."""
+        """Returns whether the log is much longer than what it must keep."""
         ratio = REWRITE_RATIO if self.has_room(0) else CRAMPED_RATIO
-        return self.wal.size > REWRITE_FROM and self.wal.size > self.size() * ratio
+        return self.wal.size > REWRITE_FROM_BYTES and self.wal.size > self.size() * ratio
 
     async def rewrite_if_due(self) -> None:
-        """Rewrite the log if it wants it; one that fails is counted, loses nothing, and is tried again another time."""
+        """Rewrites the log if it wants it.
+
+        A rewrite that fails is counted, loses nothing, and is tried again another time.
+        """
         if not self.wants_rewrite():
             return
         try:
             await self.wal.rewrite()
         except LogError:
-            self.counters.add("shelf.rewrite_failed")
+            self.counters.add("record_store.rewrite_failed")
--- a/archhatch/jobs/replicator.py
+++ b/archhatch/jobs/replicator.py
@@ -3,135 +3,241 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Awaitable, Callable, Collection, Iterable
+from typing import Any, NamedTuple
 
 from ..membership import rank
-from ..rpc import CallError
+from ..rpc import CallError, ConnectionPool
+from ..runtime import Counters, TaskGroup
 from ..wal import LogError
+from .errors import DeposedError
 from .quorum import Quorum, active_members
 from .record import Record, pack_many
+from .record_store import RecordStore
 
+LATE_PENALTY = 6  # times the timeout that a store which was late with an answer is asked only if no other will do
+SLOW_ANSWER_DIVISOR = 3  # of the timeout: a store that takes longer is slow, and another is asked as well
+FIRST_PAUSE_S = 0.05  # before all are asked again, when nobody is left to ask; doubles ...
+LONGEST_PAUSE_S = 0.4  # ... up to this
+BATCH_BYTES = 1 << 20  # of records after which a batch is closed
+DONE_CODE = 1000  # the result code of a call that was carried out
 
-class DeposedError(Exception):
-    """Another holds the run under a higher term."""
 
+class _Send(NamedTuple):
+    """Records in a store's inbox."""
 
-SHUN = 6  # times the time for an answer that a store which was late with one is asked only if no other will do
+    term: int
+    records: list[Record]
+    outcome: asyncio.Future  # True when they are synced there, False if a higher term is known, None if not taken
 
 
 class Replicator:
-    """put() returns when enough stores have synced the records.
+    """Has records copied until enough stores have synced them.
 
     >>> # await replicator.replicate("run", 3, records)
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913, PLR0917 - each is a part of the store; it does not take the store itself
         self,
-        me,
-        record_store,
-        lines,
-        members,
-        alive,
-        task_group,
-        counters,
+        store_id: str,
+        record_store: RecordStore,
+        connections: ConnectionPool,
+        members: Callable[[], dict],
+        alive: Callable[[str], bool],
+        task_group: TaskGroup,
+        counters: Counters,
         timeout_s: float,
         quorum: Quorum,
-        takes=None,
-        watch=None,
-        prefers=None,
-    ):
-        """takes(store) says whether a store's disk takes records; watch(write) waits for a write to this one's;
-        prefers(run) names stores that should hold a run's records before others."""
-        self.me, self.record_store, self.connections = me, record_store, lines
-        self.members, self.alive = members, alive
-        self.takes = takes or (lambda sid: True)
+        takes: Callable[[str], bool] | None = None,
+        watch: Callable[[Awaitable], Awaitable] | None = None,
+        prefers: Callable[[str], Collection[str]] | None = None,
+    ) -> None:
+        """Makes the replicator of a store.
+
+        Args:
+            store_id: The id of this store.
+            record_store: What this store keeps.
+            connections: Connections to the others.
+            members: Returns all stores of the membership.
+            alive: Says whether a store is in touch.
+            task_group: Runs the tasks that send.
+            counters: Counts what copies meet.
+            timeout_s: How long a store may take to answer.
+            quorum: What makes copies enough.
+            takes: Says whether a store's disk takes records.
+            watch: Waits for a write to this store's disk, and judges the disk by it.
+            prefers: Names stores that should hold a run's records before others.
+        """
+        self.store_id = store_id
+        self.record_store = record_store
+        self.connections = connections
+        self.members = members
+        self.alive = alive
+        self.takes = takes or (lambda sid: True)  # noqa: ARG005 - stands for takes
         self.watch = watch or (lambda write: write)
-        self.prefers = prefers or (lambda run: frozenset())
-        self.task_group, self.counters, self.seconds = task_group, counters, timeout_s
+        self.prefers = prefers or (lambda run: frozenset())  # noqa: ARG005 - stands for prefers
+        self.task_group = task_group
+        self.counters = counters
+        self.timeout_s = timeout_s
         self.quorum = quorum
-        self._late: dict[str, float] = {}  # store -> until when it is asked only if no other will do
-        self._inboxes: dict[str, list] = {}
+        self._late_until: dict[str, float] = {}  # store -> until when it is asked only if no other will do
+        self._inboxes: dict[str, list[_Send]] = {}
         self._wakes: dict[str, asyncio.Event] = {}
 
     def has_enough_copies(self, record: Record) -> bool:
-        """Whether a record's copies on stores that stay are enough."""
+        """Returns whether a record's copies on stores that stay are enough."""
         return self.quorum.has_enough_copies(record.held, active_members(self.members()))
 
-    def targets(self, job_id: str, held, avoid=(), allow_unreachable: bool = True, first=frozenset()) -> list:
-        """The stores that should have a lot's record besides those that hold it: this one, then by rendezvous of the
-        lot's id those in touch, those that were late with an answer, and if these are not enough also unreachable ones;
-        none whose disk takes nothing. Of each kind those in `first` come before the others."""
+    # -- where to
+
+    def targets(
+        self,
+        job_id: str,
+        held: Collection[str],
+        avoid: Collection[str] = (),
+        allow_unreachable: bool = True,
+        preferred: Collection[str] = frozenset(),
+    ) -> list[str]:
+        """Chooses the stores that should have a job's record besides those that hold it.
+
+        This one comes first, then by rendezvous of the job's id those in touch, those that were late with an answer,
+        and if these are not enough the unreachable ones; none whose disk takes nothing.
+
+        Args:
+            job_id: The job.
+            held: The stores that have the record.
+            avoid: Stores that are not chosen.
+            allow_unreachable: Whether stores out of touch may be chosen.
+            preferred: Stores that come before the others of their kind.
+        """
         members = active_members(self.members())
-        order = [self.me] + rank(job_id, [s for s in members if s != self.me])
-        order = [s for s in order if s not in avoid and self.takes(s)]
-        if first:
-            order.sort(key=lambda sid: sid not in first)
-        now, tiers = self.record_store.clock.now(), ([], [], [])
+        order = [self.store_id, *rank(job_id, [sid for sid in members if sid != self.store_id])]
+        order = [sid for sid in order if sid not in avoid and self.takes(sid)]
+        if preferred:
+            order.sort(key=lambda sid: sid not in preferred)
+        prompt, late, unreachable = self._tiers(order)
+        chosen: list[str] = []
+        for tier in (prompt, late, unreachable) if allow_unreachable else (prompt, late):
+            chosen += self.quorum.choose_copies(tier, {*held, *chosen}, members)
+        return chosen
+
+    def _tiers(self, order: list[str]) -> tuple[list[str], list[str], list[str]]:
+        """Sorts stores into those in touch, those that were late with an answer, and the unreachable ones."""
+        now = self.record_store.clock.now()
+        prompt: list[str] = []
+        late: list[str] = []
+        unreachable: list[str] = []
         for sid in order:
-            tiers[2 if not self.alive(sid) else 1 if self._late.get(sid, now) > now else 0].append(sid)
-        out: list = []
-        for tier in tiers if allow_unreachable else tiers[:2]:
-            out += self.quorum.choose_copies(tier, {*held, *out}, members)
-        return out
-
-    def _shun(self, sids) -> None:
-        for sid in sids:
-            if sid != self.me:
-                self._late[sid] = self.record_store.clock.now() + self.seconds * SHUN
+            if not self.alive(sid):
+                unreachable.append(sid)
+            elif self._late_until.get(sid, now) > now:
+                late.append(sid)
+            else:
+                prompt.append(sid)
+        return prompt, late, unreachable
+
+    def _avoid(self, stores: Iterable[str]) -> None:
+        """Has stores that were late with an answer asked only if no other will do, for a while."""
+        for sid in stores:
+            if sid != self.store_id:
+                self._late_until[sid] = self.record_store.clock.now() + self.timeout_s * LATE_PENALTY
                 self.counters.add("copy.late")
 
+    # -- until enough have them
+
     async def replicate(self, run: str, term: int, records: list[Record]) -> None:
-        """Have enough stores sync the records; DeposedError if one knows a higher term. One that is slow to answer is
-        not waited for: another is asked as well."""
-        job_id, first = records[0].head["lot"], self.prefers(run)
-        wait: dict[asyncio.Future, tuple] = {}
-        slow: set = set()  # asked, without an answer in time
-        pause = 0.05
+        """Has enough stores sync the records. One that is slow to answer is not waited for: another is asked as well.
+
+        Raises:
+            DeposedError: A store knows a higher term.
+        """
+        job_id = records[0].head["lot"]
+        preferred = self.prefers(run)
+        waiting: dict[asyncio.Future, tuple[str, list[Record]]] = {}
+        slow: set[str] = set()  # asked, without an answer in time
+        pause_s = FIRST_PAUSE_S
         while True:
-            lack = [r for r in records if not self.has_enough_copies(r)]
-            if not lack:
+            lacking = [record for record in records if not self.has_enough_copies(record)]
+            if not lacking:
                 return
             if self.record_store.promised_terms.get(run, 0) > term:
                 raise DeposedError(run)
-            jobs: dict[str, list] = {}
-            for r in lack:
-                coming = {
-                    sid for sid, rs in wait.values() if sid not in slow and self.takes(sid) and any(r is x for x in rs)
-                }
-                for sid in self.targets(job_id, r.held | coming, avoid=slow, first=first):
-                    jobs.setdefault(sid, []).append(r)
-            for sid, rs in jobs.items():
-                wait[self.send(sid, run, term, rs)] = (sid, rs)
-            if not wait:
-                await asyncio.sleep(pause)
-                pause = min(0.4, pause * 2)
+            batches: dict[str, list[Record]] = {}
+            for record in lacking:
+                coming = self._coming_to(record, waiting, slow)
+                for sid in self.targets(job_id, record.held | coming, avoid=slow, preferred=preferred):
+                    batches.setdefault(sid, []).append(record)
+            for sid, batch in batches.items():
+                waiting[self.send(sid, run, term, batch)] = (sid, batch)
+            if not waiting:
+                await asyncio.sleep(pause_s)
+                pause_s = min(LONGEST_PAUSE_S, pause_s * 2)
                 slow.clear()
                 continue
-            done, _ = await asyncio.wait(wait, timeout=self.seconds / 3, return_when=asyncio.FIRST_COMPLETED)
-            if not done:
-                late = {sid for sid, _ in wait.values()} - slow
-                slow |= late
-                self._shun(late)
-            for t in done:
-                sid, _ = wait.pop(t)
-                out = t.result()
-                if out is False:
-                    raise DeposedError(run)
-                if out is None:
-                    if sid not in slow:
-                        self._shun({sid})
-                    slow.add(sid)
-
-    async def _here(self, term: int, records: list[Record]):
+            await self._wait_for_any(run, waiting, slow)
+
+    def _coming_to(self, record: Record, waiting: dict, slow: set[str]) -> set[str]:
+        """The stores that a record is on its way to, as far as they are counted on."""
+        return {
+            sid
+            for sid, batch in waiting.values()
+            if sid not in slow and self.takes(sid) and any(record is other for other in batch)
+        }
+
+    async def _wait_for_any(self, run: str, waiting: dict, slow: set[str]) -> None:
+        """Waits for an answer, not longer than a store may take before it counts as slow."""
+        done, _ = await asyncio.wait(
+            waiting, timeout=self.timeout_s / SLOW_ANSWER_DIVISOR, return_when=asyncio.FIRST_COMPLETED
+        )
+        if not done:
+            late = {sid for sid, _ in waiting.values()} - slow
+            slow |= late
+            self._avoid(late)
+        for future in done:
+            sid, _ = waiting.pop(future)
+            outcome = future.result()
+            if outcome is False:
+                raise DeposedError(run)
+            if outcome is None:
+                if sid not in slow:
+                    self._avoid({sid})
+                slow.add(sid)
+
+    # -- one store
+
+    def send(self, sid: str, run: str, term: int, records: list[Record]) -> asyncio.Future:  # noqa: ARG002 - a send names its run, as replicate() does
+        """Puts records into a store's inbox.
+
+        Returns:
+            A future: True when they are synced there, False if deposed, None if the store does not take them.
+        """
+        if sid == self.store_id:
+            return asyncio.ensure_future(self._append_here(term, records))
+        outcome = asyncio.get_running_loop().create_future()
+        if sid not in self._inboxes:
+            self._inboxes[sid] = []
+            self._wakes[sid] = asyncio.Event()
+            self.task_group.run_forever("copy", self._empty_inbox, sid)
+        self._inboxes[sid].append(_Send(term, records, outcome))
+        self._wakes[sid].set()
+        return outcome
+
+    async def _append_here(self, term: int, records: list[Record]) -> bool | None:
+        copies = [Record({**record.head, "by": term}, record.body) for record in records]
         try:
-            out = await self.watch(self.record_store.append([Record({**r.head, "by": term}, r.body) for r in records]))
+            verdicts = await self.watch(self.record_store.append(copies))
         except LogError:
             self.counters.add("copy.own_disk")
             return None  # this store's copy is one like any other: others make up for it
-        return self._settle(self.me, out, records)
+        return self._settle(self.store_id, verdicts, records)
 
     def _settle(self, sid: str, verdicts: list, records: list[Record]) -> bool | None:
-        """What a store's verdicts on a job's records come to: False if any met a higher term, None if the disk lacks
-        the room for any; only if all are synced do they count as held there."""
+        """What a store's verdicts on records that were sent together come to.
+
+        Returns:
+            False if any met a higher term, None if the disk lacks the room for any; only if all are synced do they
+            count as held there.
+        """
         if False in verdicts:
             self.counters.add("copy.stale_term")
             return False
@@ -142,49 +248,47 @@
             record.held.add(sid)
         return True
 
-    def send(self, sid: str, run: str, term: int, records: list[Record]) -> asyncio.Future:
-        """Put records into a store's inbox; True when synced there, False if deposed, None if it does not answer."""
-        if sid == self.me:
-            return asyncio.ensure_future(self._here(term, records))
-        fut = asyncio.get_running_loop().create_future()
-        if sid not in self._inboxes:
-            self._inboxes[sid], self._wakes[sid] = [], asyncio.Event()
-            self.task_group.run_forever("copy", self._work, sid)
-        self._inboxes[sid].append((run, term, records, fut))
-        self._wakes[sid].set()
-        return fut
-
-    async def _work(self, sid: str) -> None:
+    async def _empty_inbox(self, sid: str) -> None:
+        """Sends what comes into a store's inbox, one batch at a time."""
         while True:
             await self._wakes[sid].wait()
             self._wakes[sid].clear()
             while self._inboxes[sid]:
-                jobs, size = [], 0
-                while self._inboxes[sid] and size < 1 << 20:
-                    jobs.append(self._inboxes[sid].pop(0))
-                    size += sum(len(r.body) for r in jobs[-1][2])
-                await self._batch(sid, jobs)
+                batch: list[_Send] = []
+                size = 0
+                while self._inboxes[sid] and size < BATCH_BYTES:
+                    send = self._inboxes[sid].pop(0)
+                    batch.append(send)
+                    size += sum(len(record.body) for record in send.records)
+                await self._send_batch(sid, batch)
+
+    async def _send_batch(self, sid: str, batch: list[_Send]) -> None:
+        verdicts = await self._call(sid, batch)
+        start = 0
+        for send in batch:
+            outcome = None
+            if verdicts is not None:
+                end = start + len(send.records)
+                outcome = self._settle(sid, verdicts[start:end], send.records)
+                start = end
+            if not send.outcome.done():
+                send.outcome.set_result(outcome)
 
-    async def _batch(self, sid: str, jobs: list) -> None:
+    async def _call(self, sid: str, batch: list[_Send]) -> Any:  # noqa: ANN401 - the list that the answer holds, or None
+        """Has a store append a batch; its verdict on each record, or None if it does not answer, or refuses."""
         member = self.members().get(sid)
-        oks = None
-        if member is not None:
-            records = [Record({**r.head, "by": term}, r.body) for _, term, rs, _ in jobs for r in rs]
-            try:
-                code, oks, _ = await self.connections.to(member["addr"]).call(
-                    "shelf.append", {"to": sid}, pack_many(records), timeout_s=self.seconds
-                )
-                if code != 1000:
-                    # 2008: another life stands there; 3004: it does not know all terms yet; 3010: its disk is full
-                    self.counters.add(f"copy.refused.{code}")
-                    oks = None
-            except CallError:
-                self.counters.add("copy.unanswered")
-        at = 0
-        for _, _, rs, fut in jobs:
-            out = None
-            if oks is not None:
-                out = self._settle(sid, oks[at : at + len(rs)], rs)
-                at += len(rs)
-            if not fut.done():
-                fut.set_result(out)
+        if member is None:
+            return None
+        copies = [Record({**record.head, "by": send.term}, record.body) for send in batch for record in send.records]
+        try:
+            code, verdicts, _ = await self.connections.to(member["addr"]).call(
+                "shelf.append", {"to": sid}, pack_many(copies), timeout_s=self.timeout_s
+            )
+        except CallError:
+            self.counters.add("copy.unanswered")
+            return None
+        if code != DONE_CODE:
+            # 2008: another incarnation stands there; 3004: it does not know all terms yet; 3010: its disk is full
+            self.counters.add(f"copy.refused.{code}")
+            return None
+        return verdicts
--- a/archhatch/store/join.py
+++ b/archhatch/store/join.py
@@ -85,5 +85,5 @@
         except LogError:
             store.counters.add("join.put_off")
             return
-        store.replicator.me = store.id
+        store.replicator.store_id = store.id
         store.config_watcher.card = store.card()
--- a/tests/jobs/test_quorum.py
+++ b/tests/jobs/test_quorum.py
@@ -20,7 +20,7 @@
 from archhatch.rollout_controller import LeadershipTerm
 from archhatch.data_plane.job_handlers import JobHandlers
 from archhatch.jobs import Replicator, Quorum, Record, RecordStore, active_members
-from archhatch.jobs.replicator import SHUN
+from archhatch.jobs.replicator import LATE_PENALTY
 from archhatch.jobs.record import pack_many, unpack_many
 from archhatch.rpc import CallError
 
@@ -407,7 +407,7 @@
             :2
         ]
         assert not await put(same[0])  # its turn by rendezvous, but it was late lately
-        clock.at += store.replicator.seconds * SHUN
+        clock.at += store.replicator.timeout_s * LATE_PENALTY
         gate.set()
         assert await put(same[1])
 
--- a/tests/share_group/test_window.py
+++ b/tests/share_group/test_window.py
@@ -247,7 +247,7 @@
         assert (
             await record_store.append([record]) == [False]
             and not record_store.windows
-            and counters.counts["shelf.stale_term"] == 1
+            and counters.counts["record_store.stale_term"] == 1
         )
 
     run(go())
