--- a/archhatch/store/handlers.py
+++ b/archhatch/store/handlers.py
@@ -2,160 +2,229 @@
 
 from __future__ import annotations
 
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING, Any, Protocol
+
 from ..jobs import DeposedError
 from ..jobs.record import pack_many, unpack_many
-from ..rpc import Handlers, CallRefusedError
-from ..rollout_controller import LeadershipTerm
+from ..rpc import CallRefusedError, Handlers
 from ..wal import LogError
+from .messages import (
+    FetchRecordsRequest,
+    JobRequest,
+    LeaderSignature,
+    MissingJobAnswer,
+    PrepareRequest,
+    ReadItemRequest,
+    ReadResultsRequest,
+    SubmitJobRequest,
+)
+from .result_codes import DISK_FAILED, NO_ROOM, NOT_CERTAIN, NOT_TAKEN, OTHER_INCARNATION, UNKNOWN_JOB
+
+if TYPE_CHECKING:
+    from ..jobs import RecordStore
+    from ..rollout_controller import LeadershipTerm
+    from ..runtime import Clock, Counters
+    from ..share_group import PartitionLeader
+    from ..usage.reporter import UsageReporter
+    from .disk import DiskState
+    from .membership import Membership
+    from .proxy import RequestProxy
+
+Handler = Callable[[dict, bytes], Awaitable[Any]]
+
+
+class JobHolder(Protocol):
+    """What is asked to tell whether a job is, or may come to be, on a store."""
+
+    ready: bool
+    leaderships: dict[str, LeadershipTerm]
+    record_store: RecordStore
+
+    @property
+    def id(self) -> str:
+        """The store's id."""
+
+    def members(self) -> dict:
+        """All stores of the membership."""
+
+
+class StoreHandlersHost(JobHolder, Protocol):
+    """What the handlers use of their store."""
+
+    clock: Clock
+    counters: Counters
+    leaving: bool
+    leader: PartitionLeader
+    disk: DiskState
+    membership: Membership
+    proxy: RequestProxy
+    usage: UsageReporter
 
 
 class StoreHandlers:
-    """Registers the handlers of one store.
-
-    >>> # StoreHandlers(store).register(Handlers())
-    """
+    """Registers the handlers of one store."""
 
-    def __init__(self, store):
+    def __init__(self, store: StoreHandlersHost) -> None:
         self.store = store
 
     def register(self, handlers: Handlers) -> None:
-        """Put all verbs into a table of handlers."""
-        verbs = {
+        """Puts all verbs into a table of handlers."""
+        verbs: dict[str, Handler] = {
             "store.ping": self._ping,
             "shelf.prepare": self._prepare,
             "shelf.append": self._append,
-            "shelf.fetch": self._fetch,
-            "shelf.lacks": self._lacks,
-            "share.fetch": self._share_fetch,
-            "share.commit": self._share_commit,
-            "lot.put": self._put,
-            "lot.read": self._read,
-            "lot.item": self._item,
-            "lot.end": self._end,
+            "shelf.fetch": self._fetch_records,
+            "shelf.lacks": self._check_missing,
+            "share.fetch": self._acquire_entries,
+            "share.commit": self._acknowledge_entries,
+            "lot.put": self._submit_job,
+            "lot.read": self._read_results,
+            "lot.item": self._read_item,
+            "lot.end": self._end_job,
             "request.send": self.store.proxy.send,
             "usage.tell": self.store.usage.tell,
         }
         for verb, handler in verbs.items():
             handlers.on(verb)(self._addressed(handler))
 
-    def _addressed(self, handler):
-        async def checked(doc, body):
-            if doc["to"] != self.store.id:
-                self.store.counters.add("call.other_life")
-                raise CallRefusedError(2008)
+    def _addressed(self, handler: Handler) -> Handler:
+        """Wraps a handler so that it serves calls meant for this store only, and refuses when the disk fails."""
+
+        async def checked(document: dict, body: bytes) -> object:
+            # each call passes here: the key is read as it is, the handler decodes the rest
+            if document["to"] != self.store.id:
+                self.store.counters.add("call.other_incarnation")
+                raise CallRefusedError(OTHER_INCARNATION)
             try:
-                return await handler(doc, body)
+                return await handler(document, body)
             except LogError:
-                raise CallRefusedError(3010) from None
+                raise CallRefusedError(DISK_FAILED) from None
 
         return checked
 
     # -- between stores
 
-    async def _ping(self, doc, body):
-        self.store.membership.cards.record_contact(doc["card"], self.store.clock.now())
-        return self.store.membership.word().doc()
+    async def _ping(self, document: dict, _body: bytes) -> dict:
+        self.store.membership.cards.record_contact(document["card"], self.store.clock.now())
+        return self.store.membership.status().to_document()
 
-    async def _prepare(self, doc, body):
+    async def _prepare(self, document: dict, _body: bytes) -> dict:
         store = self.store
-        out = await store.disk.watch(store.record_store.prepare(doc["run"], doc["term"]))
-        leadership = store.leaderships.get(doc["run"])
-        if out["ok"] and leadership is not None and leadership.term < doc["term"]:
+        request = PrepareRequest.from_document(document)
+        answer = await store.disk.watch(store.record_store.prepare(request.run, request.term))
+        leadership = store.leaderships.get(request.run)
+        if answer["ok"] and leadership is not None and leadership.term < request.term:
             leadership.step_down()
-        return out
+        return answer
 
-    async def _append(self, doc, body):
+    async def _append(self, _document: dict, body: bytes) -> list:
         if not self.store.ready:
-            raise CallRefusedError(3004)
+            raise CallRefusedError(NOT_CERTAIN)
         return await self.store.disk.watch(self.store.record_store.append(unpack_many(body)))
 
-    async def _fetch(self, doc, body):
-        return None, pack_many(self.store.record_store.fetch(doc["lot"], doc["poss"], doc["want_lot"]))
+    async def _fetch_records(self, document: dict, _body: bytes) -> tuple[None, bytes]:
+        request = FetchRecordsRequest.from_document(document)
+        records = self.store.record_store.fetch(request.job_id, request.positions, request.wants_job)
+        return None, pack_many(records)
 
-    async def _lacks(self, doc, body):
-        return lacks(self.store, doc["lot"])
+    async def _check_missing(self, document: dict, _body: bytes) -> dict:
+        return check_missing(self.store, JobRequest.from_document(document).job_id).to_document()
 
     # -- share groups
 
-    async def _share_fetch(self, doc, body):
-        return await self.store.leader.fetch(doc)
+    async def _acquire_entries(self, document: dict, _body: bytes) -> object:
+        return await self.store.leader.fetch(document)
 
-    async def _share_commit(self, doc, body):
-        return await self.store.leader.commit(doc, body)
+    async def _acknowledge_entries(self, document: dict, body: bytes) -> object:
+        return await self.store.leader.commit(document, body)
 
     # -- batches of work, for edges
 
-    def _reign_of(self, job_id: str) -> LeadershipTerm:
+    def _leadership_of(self, job_id: str) -> LeadershipTerm:
+        """Finds the leadership that serves a job; refuses if there is none, or if that is not certain yet."""
         leaderships = self.store.leaderships.values()
         if any(job_id in leadership.pending_jobs for leadership in leaderships if leadership.state == "holding"):
-            raise CallRefusedError(3004)
+            raise CallRefusedError(NOT_CERTAIN)
         for leadership in leaderships:
             if job_id in leadership.batch_jobs and leadership.state == "holding":
                 return leadership
         if any(leadership.state == "reading" for leadership in leaderships):
-            raise CallRefusedError(3004)
-        raise CallRefusedError(2007)
-
-    def _signed(self, leadership: LeadershipTerm) -> dict:
-        """What an answer says of its giver, so that another's answer is not taken for the holder's."""
-        return {"run": leadership.run, "me": self.store.id, "term": leadership.term}
-
-    async def _put(self, doc, body):
-        leadership = self.store.leaderships.get(doc["run"])
-        if leadership is None or leadership.state != "holding" or self.store.leaving or leadership.term < doc["term"]:
-            raise CallRefusedError(3004 if may_be_taken(self.store, doc["run"], doc["lot"]) else 3005)
-        if doc["lot"] in leadership.pending_jobs:
-            raise CallRefusedError(3004)
-        if doc["lot"] not in leadership.batch_jobs and not self.store.membership.admits(doc["lot"], len(body)):
-            raise CallRefusedError(3004 if may_be_taken(self.store, doc["run"], doc["lot"]) else 3008)
+            raise CallRefusedError(NOT_CERTAIN)
+        raise CallRefusedError(UNKNOWN_JOB)
+
+    def _sign(self, leadership: LeadershipTerm) -> dict:
+        return LeaderSignature(leadership.run, self.store.id, leadership.term).to_document()
+
+    async def _submit_job(self, document: dict, body: bytes) -> dict:
+        request = SubmitJobRequest.from_document(document)
+        leadership = self._submission_leadership(request, len(body))
         try:
-            await leadership.accept_job(doc, body)
+            await leadership.accept_job(document, body)
         except DeposedError:
             leadership.step_down()
-            raise CallRefusedError(3004) from None
-        return self._signed(leadership)
+            raise CallRefusedError(NOT_CERTAIN) from None
+        return self._sign(leadership)
 
-    async def _read(self, doc, body):
-        leadership = self._reign_of(doc["lot"])
-        page = await leadership.read_results(doc["lot"], doc["after"], doc["hold"])
+    def _submission_leadership(self, request: SubmitJobRequest, size: int) -> LeadershipTerm:
+        """Finds the leadership that may take a job of so many bytes now; refuses if there is none."""
+        store = self.store
+        leadership = store.leaderships.get(request.run)
+        is_leading = leadership is not None and leadership.state == "holding" and leadership.term >= request.min_term
+        if leadership is None or not is_leading or store.leaving:
+            raise CallRefusedError(NOT_CERTAIN if may_be_taken(store, request.run, request.job_id) else NOT_TAKEN)
+        if request.job_id in leadership.pending_jobs:
+            raise CallRefusedError(NOT_CERTAIN)
+        is_known = request.job_id in leadership.batch_jobs
+        if not is_known and not store.membership.can_admit(request.job_id, size):
+            raise CallRefusedError(NOT_CERTAIN if may_be_taken(store, request.run, request.job_id) else NO_ROOM)
+        return leadership
+
+    async def _read_results(self, document: dict, _body: bytes) -> tuple[dict, bytes]:
+        request = ReadResultsRequest.from_document(document)
+        leadership = self._leadership_of(request.job_id)
+        page = await leadership.read_results(request.job_id, request.after, request.hold_s)
         if page is None:
-            raise CallRefusedError(3004)
-        return self._signed(leadership), page
+            raise CallRefusedError(NOT_CERTAIN)
+        return self._sign(leadership), page
 
-    async def _item(self, doc, body):
-        leadership = self._reign_of(doc["lot"])
+    async def _read_item(self, document: dict, _body: bytes) -> tuple[dict, bytes]:
+        request = ReadItemRequest.from_document(document)
+        leadership = self._leadership_of(request.job_id)
         if not leadership.is_confirmed():
-            raise CallRefusedError(3004)
-        raw = leadership.item_payload(doc["lot"], doc["item"])
-        if raw is None:
-            raise CallRefusedError(2007, "item")
-        return self._signed(leadership), raw
-
-    async def _end(self, doc, body):
-        leadership = self._reign_of(doc["lot"])
+            raise CallRefusedError(NOT_CERTAIN)
+        payload = leadership.item_payload(request.job_id, request.item_id)
+        if payload is None:
+            raise CallRefusedError(UNKNOWN_JOB, "item")
+        return self._sign(leadership), payload
+
+    async def _end_job(self, document: dict, _body: bytes) -> dict:
+        job_id = JobRequest.from_document(document).job_id
+        leadership = self._leadership_of(job_id)
         try:
-            await leadership.end_job(doc["lot"])
+            await leadership.end_job(job_id)
         except DeposedError:
             leadership.step_down()
-            raise CallRefusedError(3004) from None
-        return self._signed(leadership)
+            raise CallRefusedError(NOT_CERTAIN) from None
+        return self._sign(leadership)
 
 
-def lacks(store, job_id: str) -> dict:
-    """Whether a lot is not here, and who else may have it as far as this store knows."""
-    return {
-        "me": store.id,
-        "lacks": store.ready and job_id not in store.record_store.batch_jobs,
-        "stores": {sid: {"zone": member["zone"]} for sid, member in store.members().items()},
-    }
+def check_missing(store: JobHolder, job_id: str) -> MissingJobAnswer:
+    """Returns whether a job is not here, and who else may have it as far as this store knows."""
+    return MissingJobAnswer(
+        store_id=store.id,
+        is_missing=store.ready and job_id not in store.record_store.batch_jobs,
+        stores={store_id: {"zone": member["zone"]} for store_id, member in store.members().items()},
+    )
 
 
-def may_be_taken(store, run: str, job_id: str) -> bool:
-    """Whether an earlier copy of a call that hands in this lot may have been taken, or may still be, as far as this
-    store can know: then a refusal must not promise that it was not."""
-    leadership = store.leaderships.get(run)
-    if job_id in store.record_store.batch_jobs or any(
-        job_id in other.offered_jobs or job_id in other.batch_jobs for other in store.leaderships.values()
-    ):
+def may_be_taken(store: JobHolder, run: str, job_id: str) -> bool:
+    """Returns whether an earlier copy of a call that hands in this job may have been taken, or may still be.
+
+    That is as far as this store can know; if so, a refusal must not promise that the job was not taken.
+    """
+    is_kept = job_id in store.record_store.batch_jobs
+    if is_kept or any(job_id in term.offered_jobs or job_id in term.batch_jobs for term in store.leaderships.values()):
         return True
+    leadership = store.leaderships.get(run)
     return leadership is not None and leadership.state == "reading"
--- a/archhatch/store/heartbeat.py
+++ b/archhatch/store/heartbeat.py
@@ -1,75 +1,67 @@
-"""What a store tells others of itself in the answer to each ping."""
+"""What a store reports about itself in its answer to each heartbeat call of another store."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
+from ..membership import NodeCard
+from ..runtime.message import Message, wire
 
-@dataclass(frozen=True)
+
+@dataclass(frozen=True, slots=True)
 class Leading:
-    """A run that a store leads, or takes over: under which term, for how long it has made no progress, and which
-    departing stores' copies it does not need any more."""
+    """A run that a store leads, or is taking over.
+
+    Attributes:
+        term: The term of the lease under which the store leads.
+        idle_s: For how long the leader has made no progress.
+        spared: The departing stores whose copies the leader does not need any more.
+    """
 
     term: int
     idle_s: float
     spared: tuple = ()
 
 
-@dataclass(frozen=True)
-class HeartbeatStatus:
-    """A store's word about itself.
+def _encode_led_runs(led_runs: dict[str, Leading] | None) -> dict | None:
+    if led_runs is None:
+        return None
+    return {run: [status.term, round(status.idle_s, 3), list(status.spared)] for run, status in led_runs.items()}
+
+
+def _decode_led_runs(rows: dict | None) -> dict[str, Leading] | None:
+    if rows is None:
+        return None
+    return {run: Leading(term, idle_s, tuple(spared)) for run, (term, idle_s, spared) in rows.items()}
+
+
+@dataclass(frozen=True, slots=True)
+class HeartbeatStatus(Message):
+    """A store's report about itself. A store of an earlier version sends only the first three fields.
 
-    promised: the terms that it promised, by run; None while it has not learned all of them and proves nothing.
-    leads: None from a store that does not say what it leads.
+    Attributes:
+        identity: How the store introduces itself: id, address, zone, incarnation.
+        promised_terms: The terms that it promised, by run; None while it has not learned all of them and proves
+            nothing.
+        timer_lag_s: How late its timers are, as a moving average.
+        accepts_records: Whether its disk takes new records.
+        has_room: Whether there is room for new jobs as well.
+        is_departing: Whether it is about to end, so that copies must not count on it.
+        oldest_write_s: The age of its oldest unfinished write.
+        led_runs: The runs that it leads; None from a store that does not report them.
+        slots_demanded: By service, the slots that the runs led there need.
 
-    >>> word = HeartbeatStatus(card={"id": "a"}, promised={"r": 2}, leads={"r": Leading(2, 0.5, ("b",))})
-    >>> HeartbeatStatus.read(word.doc()) == word
+    >>> status = HeartbeatStatus({"id": "a"}, {"r": 2}, 0.0, led_runs={"r": Leading(2, 0.5, ("b",))})
+    >>> HeartbeatStatus.from_document(status.to_document()) == status
     True
     """
 
-    card: dict
-    promised: dict | None = None
-    lag: float = 0.0
-    takes: bool = True  # its disk takes new records
-    roomy: bool = True  # there is room for new lots as well
-    departing: bool = False  # it is about to end: copies must not count on it
-    oldest_write_s: float = 0.0
-    leads: dict[str, Leading] | None = field(default_factory=dict)
-    demand: dict[str, float] = field(default_factory=dict)  # service -> places that the runs led here need
-
-    def doc(self) -> dict:
-        """The document that goes over the wire."""
-        leads = (
-            None
-            if self.leads is None
-            else {run: [lead.term, round(lead.idle_s, 3), list(lead.spared)] for run, lead in self.leads.items()}
-        )
-        return {
-            "card": self.card,
-            "promised": self.promised,
-            "lag": self.lag,
-            "takes": self.takes,
-            "roomy": self.roomy,
-            "departing": self.departing,
-            "oldest_write_s": self.oldest_write_s,
-            "leads": leads,
-            "demand": self.demand,
-        }
-
-    @classmethod
-    def read(cls, doc: dict) -> HeartbeatStatus:
-        """The word in a document; a store of an earlier version says less."""
-        leads = doc.get("leads")
-        if leads is not None:
-            leads = {run: Leading(term, idle_s, tuple(spared)) for run, (term, idle_s, spared) in leads.items()}
-        return cls(
-            doc["card"],
-            doc["promised"],
-            doc["lag"],
-            doc.get("takes", True),
-            doc.get("roomy", True),
-            doc.get("departing", False),
-            doc.get("oldest_write_s", 0.0),
-            leads,
-            doc.get("demand", {}),
-        )
+    identity: NodeCard = wire("card")
+    promised_terms: dict[str, int] | None = wire("promised")
+    timer_lag_s: float = wire("lag")
+    accepts_records: bool = wire("takes", default=True)
+    has_room: bool = wire("roomy", default=True)
+    is_departing: bool = wire("departing", default=False)
+    oldest_write_s: float = wire("oldest_write_s", default=0.0)
+    led_runs: dict[str, Leading] | None = wire("leads", default=None, encode=_encode_led_runs, decode=_decode_led_runs)
+    slots_demanded: dict[str, float] = wire("demand", default_factory=dict)
--- a/archhatch/store/join.py
+++ b/archhatch/store/join.py
@@ -4,86 +4,134 @@
 
 import asyncio
 import random
+from typing import TYPE_CHECKING, Any, Protocol
 
 from ..routing import RoutingTable
 from ..wal import LogError
+from .messages import LeaseTerm
+from .result_codes import DONE
+
+if TYPE_CHECKING:
+    from ..jobs import RecordStore, Replicator
+    from ..membership import ConfigWatcher, NodeCard
+    from ..region_policy import Placement
+    from ..rollout_controller import LeadershipTerm
+    from ..runtime import Counters, Settings, StateBoard
+    from .disk import DiskState
+    from .membership import Membership
 
 LEASE_REGISTERS = ("p0", "p1", "p2")  # the registers that hold the runs' leases
-LEASE_READ = 1 / 4  # of ContactMs: how long one control node may take to tell a register's leases
-CALM = 5  # heartbeats between looks while nothing changes
+LEASE_READ_CONTACT_FRACTION = 1 / 4  # of ContactMs: how long one control node may take to list a register's leases
+IDLE_HEARTBEATS = 5  # between looks at the registers while nothing changes
+STORE_ID_BITS = 64  # random: no two disks get the same id
 
 
-class StoreJoin:
-    """Follows the news of the registers for this store.
+def new_store_id() -> str:
+    """Returns a random id for an empty disk."""
+    return f"s-{random.getrandbits(STORE_ID_BITS):016x}"
+
+
+class StoreJoinHost(Protocol):
+    """What joining uses of its store."""
+
+    settings: Settings
+    log: Any
+    counters: Counters
+    state_board: StateBoard
+    heartbeat_interval_s: float
+    config_watcher: ConfigWatcher
+    placement: Placement
+    plan: RoutingTable | None
+    live_services: set
+    ready: bool
+    leaving: bool
+    leaderships: dict[str, LeadershipTerm]
+    record_store: RecordStore
+    replicator: Replicator
+    disk: DiskState
+    membership: Membership
+
+    @property
+    def id(self) -> str:
+        """The store's id."""
 
-    >>> # joining = StoreJoin(store); task_group.run_forever("parts", joining.run)
-    """
+    def card(self) -> NodeCard:
+        """How the store introduces itself."""
 
-    def __init__(self, store):
+    def members(self) -> dict:
+        """All stores of the membership."""
+
+
+class StoreJoin:
+    """Follows the registers of the control nodes for this store."""
+
+    def __init__(self, store: StoreJoinHost) -> None:
         self.store = store
 
     async def run(self) -> None:
-        """Take up each change of the registers; while this store is no full member, try again at each heartbeat."""
-        store, turn = self.store, 0
+        """Takes up each change of the registers; while this store is no full member, tries again at each heartbeat."""
+        store = self.store
+        turn = 0
         while True:
             register = store.config_watcher.shards.get("plan") or {}
-            self._fold(register)
+            self._apply_config(register)
             if store.id in register.get("dropped", {}):
                 await self._start_over(register)
             elif not store.ready and store.id in store.members():
                 await self.join()
-            store.membership.ping_all(only_new=True)
+            store.membership.ping_members(only_new=True)
             for name in ("work", "orders", "members"):
                 store.state_board.notify(name)
-            turn = await store.state_board.wait_for_change(
-                "parts", turn, store.heartbeat_interval_s * (CALM if store.ready else 1)
-            )
+            heartbeats = IDLE_HEARTBEATS if store.ready else 1
+            turn = await store.state_board.wait_for_change("parts", turn, store.heartbeat_interval_s * heartbeats)
 
-    def _fold(self, register: dict) -> None:
+    def _apply_config(self, register: dict) -> None:
         store = self.store
         if store.placement.fold(register):
-            store.log.info("placement policy: {}", store.placement)
+            store.log.info("placement policy changed, policy={}", store.placement)
         plan = register.get("plan")
         if plan is not None and (store.plan is None or plan["Revision"] > store.plan.stamp):
             store.plan = RoutingTable(plan)
             store.live_services = store.plan.live_services()
 
     async def join(self) -> None:
-        """Learn all terms that were granted before this store was a member; only then take records."""
+        """Learns all terms that were granted before this store was a member; only then takes records."""
         store = self.store
-        read_s = store.settings.seconds("ContactMs", LEASE_READ)
+        read_s = store.settings.seconds("ContactMs", LEASE_READ_CONTACT_FRACTION)
         answers = await asyncio.gather(
             *(store.config_watcher.run_command(shard, "tenure.list", {}, timeout_s=read_s) for shard in LEASE_REGISTERS)
         )
-        if any(code != 1000 for code, _ in answers):
-            store.counters.add("join.put_off")
+        if any(code != DONE for code, _ in answers):
+            store.counters.add("join.postponed")
             return
-        terms = {run: lease["term"] for _, leases in answers for run, lease in leases.items()}
-        fresh = [(run, term) for run, term in terms.items() if term > store.record_store.promised_terms.get(run, 0)]
+        terms = {run: LeaseTerm.from_document(lease).term for _, leases in answers for run, lease in leases.items()}
+        unknown = [(run, term) for run, term in terms.items() if term > store.record_store.promised_terms.get(run, 0)]
         try:
-            await asyncio.gather(*(store.disk.watch(store.record_store.prepare(run, term)) for run, term in fresh))
+            await asyncio.gather(*(store.disk.watch(store.record_store.prepare(run, term)) for run, term in unknown))
         except LogError:
-            store.counters.add("join.put_off")
+            store.counters.add("join.postponed")
             return
         store.ready = True
-        store.log.info("store {} takes records", store.id)
+        store.log.info("store {}: joined, it takes records, new_terms={}", store.id, len(unknown))
 
     async def _start_over(self, register: dict) -> None:
-        """This disk's copies were replaced by others while it was away: begin anew under another id, which counts only
-        once it stands on the disk."""
+        """Begins anew under another id, because this disk's copies were replaced by others while it was away.
+
+        The new id counts only once it stands on the disk.
+        """
         store = self.store
-        retired = store.settings.node_name in register.get("retired", {})
+        is_retired = store.settings.node_name in register.get("retired", {})
         if store.ready:
-            store.log.warning("store {} was dropped; {}", store.id, "it is retired" if retired else "it starts over")
+            store.log.warning("store {}: dropped from the membership, retired={}", store.id, is_retired)
         store.ready = False
         for leadership in store.leaderships.values():
             leadership.step_down()
-        if retired or store.leaving:
+        if is_retired or store.leaving:
             return  # it ends: a new id would make it a member again
         try:
-            await store.disk.watch(store.record_store.reset(f"s-{random.getrandbits(64):016x}"))
+            await store.disk.watch(store.record_store.reset(new_store_id()))
         except LogError:
-            store.counters.add("join.put_off")
+            store.counters.add("join.postponed")
             return
         store.replicator.store_id = store.id
         store.config_watcher.card = store.card()
--- a/archhatch/store/membership.py
+++ b/archhatch/store/membership.py
@@ -1,205 +1,328 @@
-"""The other stores as this one sees them: heartbeats, who is in touch, and what each last said of itself."""
+"""The other stores as this one sees them: heartbeats, who is in touch, and what each last reported of itself."""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any, Protocol
 
 from ..jobs import active_members
-from ..membership import PeerSet
+from ..membership import NodeCard, PeerSet
 from ..rpc import CallError
 from .heartbeat import HeartbeatStatus
+from .result_codes import DONE, OTHER_INCARNATION
 
-SLOW = 4.0  # times later than the middle one's timers: a node that should not lead
-SLOW_FLOOR = 0.4  # of a heartbeat: timers that are late by less say nothing
-LAG_WEIGHT = 0.3  # of the newest look at this node's timers
+if TYPE_CHECKING:
+    from ..autoscaler.controller import CapacityController
+    from ..jobs import Quorum, RecordStore
+    from ..rollout_controller import LeadershipTerm
+    from ..rpc import ConnectionPool
+    from ..runtime import Clock, Counters, StateBoard, TaskGroup
+    from ..share_group import PartitionLeader
+    from .disk import DiskState
+
+SLOW_LAG_RATIO = 4.0  # times the median lag: from here a node's timers are too late for it to lead
+SLOW_LAG_HEARTBEATS = 0.4  # lags below this fraction of a heartbeat say nothing
+LAG_WEIGHT = 0.3  # of the newest observation in the moving average of this node's timer lag
+
+
+class MembershipHost(Protocol):
+    """What the membership uses of its store."""
+
+    clock: Clock
+    counters: Counters
+    task_group: TaskGroup
+    state_board: StateBoard
+    connections: ConnectionPool
+    heartbeat_interval_s: float
+    quiet_s: float
+    incarnation: str
+    ready: bool
+    leaving: bool
+    quorum: Quorum
+    leaderships: dict[str, LeadershipTerm]
+    record_store: RecordStore
+    leader: PartitionLeader
+    disk: DiskState
+    capacity: CapacityController
+
+    @property
+    def id(self) -> str:
+        """The store's id."""
+
+    def card(self) -> NodeCard:
+        """How the store introduces itself."""
+
+    def members(self) -> dict:
+        """All stores of the membership."""
+
+    def alive(self, store_id: str) -> bool:
+        """Whether a store is in touch."""
+
+
+@dataclass(frozen=True, slots=True)
+class TermProof:
+    """The terms that a store had promised when it answered a heartbeat call.
+
+    Attributes:
+        asked_at: When the call was sent: the proof is as old as that.
+        promised_terms: The terms, by run.
+    """
+
+    asked_at: float
+    promised_terms: dict[str, int]
 
 
 class Membership:
-    """Pings the stores of the membership and keeps their words.
+    """Calls the stores of the membership at each heartbeat and keeps their reports.
 
-    >>> # membership = Membership(store); task_group.run_forever("pings", membership.run); membership.alive(sid)
+    Attributes:
+        store: The store that it belongs to.
+        cards: When each store was last heard, and how it introduced itself.
+        resumed_at: The end of this process's last stall, or its start: before it, nobody could be heard.
+        first_heard_of: When this node first heard of each store.
+        proofs: The newest proof of each store's terms.
+        statuses: The newest report of each store.
+        timer_lag_s: How late this node's timers are, as a moving average.
     """
 
-    def __init__(self, store):
+    def __init__(self, store: MembershipHost) -> None:
         self.store = store
         self.cards = PeerSet()
-        self.woke = store.clock.now()  # the end of this node's last stand-still, or its start
-        self.met: dict[str, float] = {}  # when this node first heard of a store
-        self.proofs: dict[str, tuple] = {}  # store -> (when it was asked, the terms that it had promised)
-        self.words: dict[str, HeartbeatStatus] = {}
+        self.resumed_at = store.clock.now()
+        self.first_heard_of: dict[str, float] = {}
+        self.proofs: dict[str, TermProof] = {}
+        self.statuses: dict[str, HeartbeatStatus] = {}
+        self.timer_lag_s = 0.0
         self._pings: dict[str, asyncio.Task] = {}
-        self.lag = 0.0  # how late this node's timers are, lately
 
     # -- what is known of others
 
-    def silent(self, sid: str) -> bool:
-        """Whether a store has not been heard for so long that it passes for gone."""
+    def is_silent(self, store_id: str) -> bool:
+        """Returns whether a store has not been heard for so long that it passes for gone."""
         now = self.store.clock.now()
-        met = self.met.setdefault(sid, now)  # one just heard of has not had its time to speak
-        return min(self.cards.silence_s(sid, now), now - max(self.woke, met)) >= self.store.quiet_s
+        first_heard_of = self.first_heard_of.setdefault(store_id, now)  # a new one has not had its time to answer
+        could_be_heard_s = now - max(self.resumed_at, first_heard_of)
+        return min(self.cards.silence_s(store_id, now), could_be_heard_s) >= self.store.quiet_s
 
-    def alive(self, sid: str) -> bool:
-        """Whether a store is in touch."""
-        return sid == self.store.id or not self.silent(sid)
+    def alive(self, store_id: str) -> bool:
+        """Returns whether a store is in touch."""
+        return store_id == self.store.id or not self.is_silent(store_id)
 
-    def takes(self, sid: str) -> bool:
-        """Whether a store's disk takes records, by its own word."""
-        if sid == self.store.id:
+    def takes(self, store_id: str) -> bool:
+        """Returns whether a store's disk takes records, by its own report."""
+        if store_id == self.store.id:
             return self.store.disk.takes
-        word = self.words.get(sid)
-        return word is None or word.takes
-
-    def admits(self, job_id: str, size: int) -> bool:
-        """Whether a new lot may be taken: enough stores in touch have the room for its copies."""
-        members = active_members(self.store.members())
-        roomy = [
-            sid
-            for sid in members
-            if sid != self.store.id
-            and self.stays(sid)
-            and self.takes(sid)
-            and (sid not in self.words or self.words[sid].roomy)
-        ]
-        here = [self.store.id] if self.store.disk.takes and self.store.record_store.can_admit(job_id, size) else []
-        return self.store.quorum.has_enough_copies(roomy + here, members)
+        status = self.statuses.get(store_id)
+        return status is None or status.accepts_records
+
+    def can_admit(self, job_id: str, size: int) -> bool:
+        """Returns whether a new job may be taken: enough stores in touch have the room for its copies.
 
-    def departing(self, sid: str) -> bool:
-        """Whether a store said that it is about to end."""
-        if sid == self.store.id:
+        Args:
+            job_id: The job.
+            size: Its bytes.
+        """
+        store = self.store
+        members = active_members(store.members())
+        with_room = [store_id for store_id in members if store_id != store.id and self._has_room(store_id)]
+        if store.disk.takes and store.record_store.can_admit(job_id, size):
+            with_room.append(store.id)
+        return store.quorum.has_enough_copies(with_room, members)
+
+    def _has_room(self, store_id: str) -> bool:
+        if not self.stays(store_id) or not self.takes(store_id):
+            return False
+        status = self.statuses.get(store_id)
+        return status is None or status.has_room
+
+    def departing(self, store_id: str) -> bool:
+        """Returns whether a store said that it is about to end."""
+        if store_id == self.store.id:
             return self.store.leaving
-        word = self.words.get(sid)
-        return word is not None and word.departing
+        status = self.statuses.get(store_id)
+        return status is not None and status.is_departing
+
+    def stays(self, store_id: str) -> bool:
+        """Returns whether copies may count on a store: it is in touch and not about to end."""
+        return self.store.alive(store_id) and not self.departing(store_id)
 
-    def stays(self, sid: str) -> bool:
-        """Whether copies may count on a store: it is in touch and not about to end."""
-        return self.store.alive(sid) and not self.departing(sid)
+    def confirmed(self, run: str, term: int, max_age_s: float) -> bool:
+        """Returns whether no other store can lead a run under a higher term.
 
-    def confirmed(self, run: str, term: int, timeout_s: float) -> bool:
-        """Whether so many stores, this one among them, said within secs that they know no higher term of a run that no
-        other can have gathered its holder's right without one of them."""
-        if self.store.record_store.promised_terms.get(run, 0) > term:
+        That is so if enough stores, this one among them, proved lately that they promised no higher term: no other
+        can have gathered its right to lead without one of them.
+
+        Args:
+            run: The run.
+            term: The term under which this store leads it.
+            max_age_s: How old a proof may be.
+        """
+        store = self.store
+        if store.record_store.promised_terms.get(run, 0) > term:
             return False
-        now = self.store.clock.now()
-        good = {
-            sid for sid, (at, promised) in self.proofs.items() if now - at <= timeout_s and promised.get(run, 0) <= term
+        now = store.clock.now()
+        confirming = {
+            store_id
+            for store_id, proof in self.proofs.items()
+            if now - proof.asked_at <= max_age_s and proof.promised_terms.get(run, 0) <= term
         }
-        return self.store.quorum.has_enough_copies(good | {self.store.id}, active_members(self.store.members()))
+        return store.quorum.has_enough_copies(confirming | {store.id}, active_members(store.members()))
 
     def hears_enough(self) -> bool:
-        """Whether this store hears so many that a gather could succeed: the others would not do better."""
+        """Returns whether this store hears so many that a gather could succeed: the others would not do better."""
         members = self.store.members()
-        return self.store.quorum.has_heard_enough([sid for sid in members if self.store.alive(sid)], members)
+        return self.store.quorum.has_heard_enough(
+            [store_id for store_id in members if self.store.alive(store_id)], members
+        )
 
-    def gatherable(self) -> bool:
-        """Whether enough stores are in touch and can write down a promise that a successor's gather could succeed."""
+    def can_successor_gather(self) -> bool:
+        """Returns whether enough stores are in touch and can write a promise, so that a successor could gather."""
         members = self.store.members()
-        able = [sid for sid in members if self.store.alive(sid) and self.takes(sid)]
+        able = [store_id for store_id in members if self.store.alive(store_id) and self.takes(store_id)]
         return self.store.quorum.has_heard_enough(able, members)
 
-    def lags(self, names) -> dict:
-        """How late the timers of these stores are."""
-        return {sid: self.lag if sid == self.store.id else self._lag(sid) for sid in names}
+    def timer_lags_s(self, store_ids: Iterable[str]) -> dict[str, float]:
+        """Returns how late the timers of these stores are, in seconds."""
+        return {store_id: self._timer_lag_s(store_id) for store_id in store_ids}
 
-    def _lag(self, sid: str) -> float:
-        word = self.words.get(sid)
-        return word.lag if word is not None else 0.0
+    def _timer_lag_s(self, store_id: str) -> float:
+        if store_id == self.store.id:
+            return self.timer_lag_s
+        status = self.statuses.get(store_id)
+        return status.timer_lag_s if status is not None else 0.0
 
-    def slow(self) -> bool:
-        """Whether this node's timers are far later than those of most others that it hears."""
-        others = sorted(self._lag(sid) for sid in self.words if sid in self.store.members() and self.alive(sid))
-        return bool(others) and self.lag > max(
-            SLOW * others[len(others) // 2], self.store.heartbeat_interval_s * SLOW_FLOOR
-        )
+    def is_slow(self) -> bool:
+        """Returns whether this node's timers are far later than those of most others that it hears."""
+        members = self.store.members()
+        heard = [store_id for store_id in self.statuses if store_id in members and self.alive(store_id)]
+        lags_s = [self.statuses[store_id].timer_lag_s for store_id in heard]
+        return bool(lags_s) and self.timer_lag_s > self._slow_lag_s(lags_s)
 
-    def fit_to_lead(self) -> list:
-        """The active stores in touch whose disks take records, without those that are slow if others are left."""
-        members = active_members(self.store.members())
-        names = [sid for sid in members if self.stays(sid) and self.takes(sid)]
-        lags = self.lags(names)
-        row = sorted(lags.values())
-        bound = max(SLOW * row[len(row) // 2], self.store.heartbeat_interval_s * SLOW_FLOOR) if row else 0.0
-        return [sid for sid in names if lags[sid] <= bound] or names
+    def _slow_lag_s(self, lags_s: Iterable[float]) -> float:
+        """The lag above which a node is slow, given those of the nodes that it is compared with."""
+        ordered = sorted(lags_s)
+        median_s = ordered[len(ordered) // 2]
+        return max(SLOW_LAG_RATIO * median_s, self.store.heartbeat_interval_s * SLOW_LAG_HEARTBEATS)
+
+    def fit_to_lead(self) -> list[str]:
+        """Returns the active stores in touch whose disks take records, without slow ones if others are left."""
+        able = [
+            store_id
+            for store_id in active_members(self.store.members())
+            if self.stays(store_id) and self.takes(store_id)
+        ]
+        if not able:
+            return able
+        lags_s = self.timer_lags_s(able)
+        slow_lag_s = self._slow_lag_s(lags_s.values())
+        return [store_id for store_id in able if lags_s[store_id] <= slow_lag_s] or able
 
-    def life_of(self, sid: str) -> str | None:
-        """The life that a store last named."""
-        return self.store.incarnation if sid == self.store.id else self.cards.cards.get(sid, {}).get("life")
+    def incarnation_of(self, store_id: str) -> str | None:
+        """Returns the incarnation that a store last named."""
+        if store_id == self.store.id:
+            return self.store.incarnation
+        card = self.cards.cards.get(store_id)
+        return card.get("life") if card is not None else None
 
     def places_wanted(self, service: str) -> float:
-        """The places that a service's runs need, by the word of the stores in touch that lead them."""
-        words = [word for sid, word in self.words.items() if self.alive(sid)]
+        """Returns the slots that a service's runs need, by the reports of the stores in touch that lead them."""
+        statuses = [status for store_id, status in self.statuses.items() if self.alive(store_id)]
         here = self.store.leader.demand().get(service, 0.0)
-        return here + sum(word.demand.get(service, 0.0) for word in words)
+        return here + sum(status.slots_demanded.get(service, 0.0) for status in statuses)
 
     # -- heartbeats
 
-    def word(self) -> HeartbeatStatus:
-        """What others are told at a ping. A store that has not read all terms yet proves nothing about them."""
+    def status(self) -> HeartbeatStatus:
+        """Returns this store's report. One that has not read all terms yet proves nothing about them."""
         store = self.store
         return HeartbeatStatus(
-            store.card(),
-            store.record_store.promised_terms if store.ready else None,
-            self.lag,
-            takes=store.disk.takes and store.ready and not store.leaving,
-            roomy=store.record_store.has_room(0),
-            departing=store.leaving,
+            identity=store.card(),
+            promised_terms=store.record_store.promised_terms if store.ready else None,
+            timer_lag_s=self.timer_lag_s,
+            accepts_records=store.disk.takes and store.ready and not store.leaving,
+            has_room=store.record_store.has_room(0),
+            is_departing=store.leaving,
             oldest_write_s=store.disk.oldest_write_s(),
-            demand=store.leader.demand() if store.capacity.enabled else {},
-            leads={
+            led_runs={
                 run: leadership.heartbeat_entry()
                 for run, leadership in store.leaderships.items()
                 if leadership.state != "over"
             },
+            slots_demanded=store.leader.demand() if store.capacity.enabled else {},
         )
 
-    def hear(self, doc: dict, asked_at: float) -> None:
-        """Take up a store's word, given in answer to a ping that was sent at asked_at."""
-        word = HeartbeatStatus.read(doc)
-        sid = word.card["id"]
-        self.cards.record_contact(word.card, self.store.clock.now())
-        before, self.words[sid] = self.words.get(sid), word
-        if before is None or (before.takes, before.departing) != (word.takes, word.departing):
+    def record_status(self, document: dict, asked_at: float) -> None:
+        """Takes up a store's report.
+
+        Args:
+            document: A HeartbeatStatus.
+            asked_at: When the call that it answers was sent.
+        """
+        status = HeartbeatStatus.from_document(document)
+        store_id = status.identity["id"]
+        self.cards.record_contact(status.identity, self.store.clock.now())
+        before = self.statuses.get(store_id)
+        self.statuses[store_id] = status
+        if (
+            before is None
+            or before.accepts_records != status.accepts_records
+            or before.is_departing != status.is_departing
+        ):
             self.store.state_board.notify("members")
-        if word.promised is not None:
-            self.proofs[sid] = (asked_at, word.promised)
+        if status.promised_terms is not None:
+            self.proofs[store_id] = TermProof(asked_at, status.promised_terms)
 
     async def run(self) -> None:
-        """Ping every member at each heartbeat, and notice when this node stood still."""
+        """Calls every member at each heartbeat, and notices when this process stood still."""
         store = self.store
         while True:
-            self.ping_all()
+            self.ping_members()
             before = store.clock.now()
             await asyncio.sleep(store.heartbeat_interval_s)
-            self.look_at_timers(store.clock.now() - before)
-            store.disk.judge([word.oldest_write_s for sid, word in self.words.items() if self.alive(sid)])
+            self.observe_timer(store.clock.now() - before)
+            alive = [status for store_id, status in self.statuses.items() if self.alive(store_id)]
+            store.disk.check_for_stall([status.oldest_write_s for status in alive])
+
+    def ping_members(self, only_new: bool = False) -> None:
+        """Calls every member that has no heartbeat call under way.
 
-    def ping_all(self, only_new: bool = False) -> None:
-        """Ping every member that has no ping under way, or only those that have not said anything yet."""
+        Args:
+            only_new: Whether to call only those that have not reported anything yet.
+        """
         store = self.store
-        for sid, member in store.members().items():
-            task = self._pings.get(sid)
-            if sid == store.id or (task is not None and not task.done()) or (only_new and sid in self.words):
+        for store_id, member in store.members().items():
+            task = self._pings.get(store_id)
+            is_pinging = task is not None and not task.done()
+            if store_id == store.id or is_pinging or (only_new and store_id in self.statuses):
                 continue
-            self._pings[sid] = store.task_group.spawn("ping", self.ping, sid, member["addr"])
+            self._pings[store_id] = store.task_group.spawn("ping", self.ping, store_id, member["addr"])
 
-    def look_at_timers(self, slept_s: float) -> None:
-        """Judge this node by how late it woke from one heartbeat's sleep."""
-        late = max(0.0, slept_s - self.store.heartbeat_interval_s)
-        self.lag += LAG_WEIGHT * (late - self.lag)
+    def observe_timer(self, slept_s: float) -> None:
+        """Judges this node by how late it woke from one heartbeat's sleep.
+
+        Args:
+            slept_s: How long the sleep took.
+        """
+        late_s = max(0.0, slept_s - self.store.heartbeat_interval_s)
+        self.timer_lag_s += LAG_WEIGHT * (late_s - self.timer_lag_s)
         if slept_s > self.store.quiet_s:
-            self.woke = self.store.clock.now()
+            self.resumed_at = self.store.clock.now()
             self.proofs.clear()
             self.store.counters.add("woke")
 
-    async def ping(self, sid: str, address: str) -> None:
-        """Ask a store for its word; what another life at its address answers is not believed."""
-        at = self.store.clock.now()
+    async def ping(self, store_id: str, address: str) -> None:
+        """Asks a store for its report; what another incarnation at its address answers is not believed."""
+        store = self.store
+        asked_at = store.clock.now()
+        request = {"to": store_id, "card": store.card()}
+        document: Any
         try:
-            code, doc, _ = await self.store.connections.to(address).call(
-                "store.ping", {"to": sid, "card": self.store.card()}, timeout_s=self.store.quiet_s
-            )
+            code, document, _ = await store.connections.to(address).call("store.ping", request, timeout_s=store.quiet_s)
         except CallError:
             return
-        if code == 2008 or (code == 1000 and doc["card"]["id"] != sid):
-            self.store.counters.add("ping.other_life")
-        elif code == 1000:
-            self.hear(doc, at)
+        if code == OTHER_INCARNATION or (code == DONE and document["card"]["id"] != store_id):
+            store.counters.add("ping.other_incarnation")
+        elif code == DONE:
+            self.record_status(document, asked_at)
--- a/archhatch/store/proxy.py
+++ b/archhatch/store/proxy.py
@@ -2,54 +2,94 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING, Protocol
+
 from ..rpc import CallRefusedError
 from ..upstream import AGAIN
+from .messages import SendAnswer, SendRequest
+from .result_codes import NO_REPLICA_FREE, NO_ROUTE, NOT_CERTAIN, NOT_TAKEN
 
-NO_LANE, NOT_SURE, LEAVING, NOTHING_FREE = 2006, 3004, 3005, 3002
+if TYPE_CHECKING:
+    from ..routing import Route, RoutingTable
+    from ..runtime import Clock, Counters, StateBoard
+    from ..upstream import LoadBalancer, UpstreamClient
 
+PROXIED_KIND = "idempotent"  # the only kind of route whose requests a store may send
+SLOW_TARGET_FRACTION = 0.3  # of a route's target time: an answer that takes longer counts against a replica
 
-class RequestProxy:
-    """One send to one replica that this store picks; the edge judges what follows from it.
 
-    >>> # doc, body = await proxy.send(doc, body)
-    """
+class RequestProxyHost(Protocol):
+    """What the proxy uses of its store."""
+
+    leaving: bool
+    plan: RoutingTable | None
+    clock: Clock
+    counters: Counters
+    state_board: StateBoard
+    load_balancer: LoadBalancer
+    upstream_client: UpstreamClient
+
+
+class RequestProxy:
+    """Makes one send to one replica that this store picks; the edge judges what follows from it."""
 
-    def __init__(self, store):
+    def __init__(self, store: RequestProxyHost) -> None:
         self.store = store
 
-    async def send(self, doc: dict, body: bytes) -> tuple:
-        """Send an idempotent request once. A refusal says that nothing was sent."""
-        store, began = self.store, self.store.clock.now()
+    async def send(self, document: dict, body: bytes) -> tuple:
+        """Sends an idempotent request once.
+
+        Args:
+            document: A SendRequest.
+            body: The request's body.
+
+        Returns:
+            The document of a SendAnswer, and the answer's body.
+
+        Raises:
+            CallRefusedError: Nothing was sent.
+        """
+        store = self.store
+        began = store.clock.now()
         if store.leaving:
-            raise CallRefusedError(LEAVING)
+            raise CallRefusedError(NOT_TAKEN)
         if store.plan is None:
-            raise CallRefusedError(NOT_SURE)
-        route = store.plan.route(doc["host"], doc["target"].split("?", 1)[0])
-        if route is None or route.kind != "idempotent" or doc["service"] not in [name for name, _ in route.split]:
-            raise CallRefusedError(NO_LANE)  # its configuration is another one than the edge's
-        line = store.load_balancer.pick(doc["service"], set(doc["tried"]), began, route)
-        if line is None:
-            raise CallRefusedError(NOTHING_FREE)
-        end = began + doc["secs"]
-        line.under_way += 1
+            raise CallRefusedError(NOT_CERTAIN)
+        request = SendRequest.from_document(document)
+        route = _proxied_route(store.plan, request)
+        endpoint = store.load_balancer.pick(request.service, set(request.tried), began, route)
+        if endpoint is None:
+            raise CallRefusedError(NO_REPLICA_FREE)
+        end = began + request.timeout_s
+        endpoint.under_way += 1
         store.counters.add("proxy.send")
         try:
             answer = await store.upstream_client.send(
-                line.address,
-                line.iid,
-                doc["method"],
-                doc["target"],
-                [tuple(head) for head in doc["heads"]],
+                endpoint.address,
+                endpoint.iid,
+                request.method,
+                request.target,
+                [tuple(header) for header in request.headers],
                 body,
-                doc["rid"],
-                doc["secs"],
+                request.request_id,
+                request.timeout_s,
                 AGAIN,
                 lambda: store.clock.now() < end,
             )
         finally:
-            line.under_way -= 1
-            store.state_board.notify("score")  # reward calls may wait for the place
+            endpoint.under_way -= 1
+            store.state_board.notify("score")  # reward calls may wait for the slot
         now = store.clock.now()
-        store.load_balancer.judge(line, answer, now, now - began, route.aim_s * 0.3)
-        heads = [list(head) for head in answer.heads]
-        return {"ran": answer.ran.value, "status": answer.status, "heads": heads, "why": answer.why}, answer.body
+        store.load_balancer.judge(endpoint, answer, now, now - began, route.aim_s * SLOW_TARGET_FRACTION)
+        headers = [list(header) for header in answer.heads]
+        return SendAnswer(answer.ran.value, answer.status, headers, answer.why).to_document(), answer.body
+
+
+def _proxied_route(plan: RoutingTable, request: SendRequest) -> Route:
+    """Finds a request's route; refuses one whose edge has another configuration than this store."""
+    route = plan.route(request.host, request.target.split("?", 1)[0])
+    if route is None or route.kind != PROXIED_KIND:
+        raise CallRefusedError(NO_ROUTE)
+    if request.service not in [name for name, _ in route.split]:
+        raise CallRefusedError(NO_ROUTE)
+    return route
--- a/archhatch/store/repair.py
+++ b/archhatch/store/repair.py
@@ -1,67 +1,91 @@
-"""The upkeep of what this store keeps: copies of the runs that it leads, old lots, the log's length, its disk."""
+"""The upkeep of what this store keeps: copies of the runs that it leads, old jobs, the log's length, its disk."""
 
 from __future__ import annotations
 
 import asyncio
+from typing import TYPE_CHECKING, Any, Protocol
 
 from ..jobs import Record, pack
 from ..wal import LogError
 
-PACE = 3  # heartbeats between rounds while the stores do not change and no copy is lacking
+if TYPE_CHECKING:
+    from ..jobs import RecordStore
+    from ..rollout_controller import LeadershipTerm
+    from ..runtime import Clock, Settings, StateBoard
+    from ..wal import WriteAheadLog
+    from .disk import DiskState
+
+IDLE_ROUND_HEARTBEATS = 3  # between rounds while the stores do not change and no copy is lacking
 PROBE_BYTES = 4096  # what a disk must take before it counts as taking records again
+KEEP_STATUS_PERIODS = 2  # StatusS: for how long an ended job is kept after its end
+FORGET_LEASE_PERIODS = 2  # LeaseMs: for how long the note that a job was forgotten is kept
 
 
-class Repair:
-    """Rounds of upkeep, at once when the stores change.
+class RepairHost(Protocol):
+    """What the upkeep uses of its store."""
+
+    settings: Settings
+    clock: Clock
+    log: Any
+    state_board: StateBoard
+    heartbeat_interval_s: float
+    leaderships: dict[str, LeadershipTerm]
+    record_store: RecordStore
+    disk: DiskState
+    wal: WriteAheadLog
 
-    >>> # repair = Repair(store); task_group.run_forever("mend", repair.run)
-    >>> # task_group.run_forever("disk", repair.probe_disk)
-    """
 
-    def __init__(self, store):
+class Repair:
+    """Runs rounds of upkeep, at once when the stores change."""
+
+    def __init__(self, store: RepairHost) -> None:
         self.store = store
 
     async def run(self) -> None:
-        """One round after the other."""
-        store, turn = self.store, 0
+        """Runs one round after the other."""
+        store = self.store
+        turn = 0
         while True:
-            lacking = any(leadership.needs_repair() for leadership in store.leaderships.values())
-            turn = await store.state_board.wait_for_change(
-                "members", turn, store.heartbeat_interval_s * (1 if lacking else PACE)
-            )
-            await self.round()
-
-    async def round(self) -> None:
-        """Mend all runs that this store leads, side by side; then forget and shorten what nobody needs."""
+            lacks_copies = any(leadership.needs_repair() for leadership in store.leaderships.values())
+            heartbeats = 1 if lacks_copies else IDLE_ROUND_HEARTBEATS
+            turn = await store.state_board.wait_for_change("members", turn, store.heartbeat_interval_s * heartbeats)
+            await self.run_round()
+
+    async def run_round(self) -> None:
+        """Repairs all runs that this store leads, side by side; then drops and shortens what nobody needs."""
         store = self.store
         holding = [leadership for leadership in store.leaderships.values() if leadership.state == "holding"]
         await asyncio.gather(*(leadership.repair() for leadership in holding))
         for leadership in holding:
             leadership.forget_old_jobs()
-        keep_s, now = store.settings.seconds("StatusS", 2), store.clock.now()
-        old = [
+        store.record_store.forget(self._expired_jobs(), store.settings.seconds("LeaseMs", FORGET_LEASE_PERIODS))
+        await store.record_store.rewrite_if_due()
+
+    def _expired_jobs(self) -> list[str]:
+        store = self.store
+        keep_s = store.settings.seconds("StatusS", KEEP_STATUS_PERIODS)
+        now = store.clock.now()
+        return [
             job_id
             for job_id, stored in store.record_store.batch_jobs.items()
             if stored.end is not None and now - stored.stored_at > keep_s
         ]
-        store.record_store.forget(old, store.settings.seconds("LeaseMs", 2))
-        await store.record_store.rewrite_if_due()
 
     async def probe_disk(self) -> None:
-        """Try a disk that took nothing until it takes a small record again."""
+        """Tries a disk that took nothing until it takes a small record again."""
         store = self.store
         while True:
             await asyncio.sleep(store.heartbeat_interval_s)
-            if store.disk.may_probe():
-                await self.probe()
+            if store.disk.should_probe():
+                await self.write_probe()
 
-    async def probe(self) -> None:
-        """Write a record that means nothing: a promise of no run's term 0."""
+    async def write_probe(self) -> None:
+        """Writes a record that means nothing: a promise of no run's term 0."""
         store = self.store
-        raw = pack(Record({"k": "P", "run": "", "term": 0}, bytes(PROBE_BYTES)))
+        probe = pack(Record({"k": "P", "run": "", "term": 0}, bytes(PROBE_BYTES)))
         try:
-            await store.disk.watch(store.wal.append(raw))
+            await store.disk.watch(store.wal.append(probe))
         except LogError:
-            return
-        store.disk.recovered()
-        store.log.info("the disk takes records again")
+            return  # the failure is noted by the watch, and the disk rests longer
+        store.disk.note_recovery()
+        store.log.info("disk: a probe was synced, it takes records again, probe_bytes={}", PROBE_BYTES)
--- a/tests/jobs/test_quorum.py
+++ b/tests/jobs/test_quorum.py
@@ -12,8 +12,8 @@
 from archhatch.membership import rank
 from archhatch.control.registers import commands
 from archhatch.store.disk import DiskState
-from archhatch.store.handlers import lacks
-from archhatch.store.membership import Membership
+from archhatch.store.handlers import check_missing
+from archhatch.store.membership import Membership, TermProof
 from archhatch.store.node import StoreNode
 from archhatch.runtime import StateBoard, Counters, TaskGroup, open_logs
 from archhatch.runtime.settings import check_settings
@@ -75,9 +75,9 @@
             raise CallError(address, sent=True)
         node = self.at[address]
         if verb == "store.ping":
-            return 1000, orjson.loads(orjson.dumps(node.membership.word().doc())), b""
+            return 1000, orjson.loads(orjson.dumps(node.membership.status().to_document())), b""
         if verb == "shelf.lacks":
-            return 1000, lacks(node, doc["lot"]), b""
+            return 1000, check_missing(node, doc["lot"]).to_document(), b""
         if doc["to"] != node.id:
             return 2008, None, b""
         if verb == "shelf.append":
@@ -144,7 +144,7 @@
         """What pings would have brought from these stores."""
         for sid in names:
             place = self.site.value["stores"][sid]["ip"]
-            self.proofs[sid] = (self.clock.now(), dict(self.site.at[place].record_store.promised_terms))
+            self.proofs[sid] = TermProof(self.clock.now(), dict(self.site.at[place].record_store.promised_terms))
 
     async def leadership(self, term):
         leadership = LeadershipTerm(self, "s", term)
@@ -628,7 +628,7 @@
         store.proofs.clear()
         change(site)
         await store.ping("s1", "p1")
-        assert leadership.is_confirmed() is proven and store.counters.counts["ping.other_life"] == counted
+        assert leadership.is_confirmed() is proven and store.counters.counts["ping.other_incarnation"] == counted
 
     run(go())
 
--- a/tests/share_group/test_share_group.py
+++ b/tests/share_group/test_share_group.py
@@ -210,7 +210,9 @@
                 with pytest.raises(CallRefusedError) as no:
                     await lead.verbs.table[verb]({**good, **change}, b"[]")
                 assert no.value.code == code, (verb, change)
-            assert lead.counters.counts["share.other_epoch"] == 3 and lead.counters.counts["call.other_life"] == 2
+            assert (
+                lead.counters.counts["share.other_epoch"] == 3 and lead.counters.counts["call.other_incarnation"] == 2
+            )
             bad = [
                 {"part": p, "off": o, "dc": 1, "kind": "accept", "engine": "", "signs": [], "doc": {}}
                 for p, o in (("m", 0), ("m", 10**9), ("m", -1), ("nobody", 0))
@@ -237,7 +239,7 @@
                 for e in win.locked.values()
             ]
             # the old one is cut off from news and pings, and thinks that it leads
-            old.lease_watch.look = lambda: None
+            old.lease_watch.check_leases = lambda: None
             await other.lease_watch.claim("llm", leadership.term, other.id, other.incarnation)
             await w.until(
                 other.state_board,
--- a/tests/store/test_disk.py
+++ b/tests/store/test_disk.py
@@ -50,11 +50,11 @@
         await asyncio.sleep(0)
         clock.at += age
         assert disk.oldest_write_s() == pytest.approx(age)
-        assert disk.judge(neighbours) is takes and not disk.may_probe()  # it still waits for that write
+        assert disk.check_for_stall(neighbours) is takes and not disk.should_probe()  # it still waits for that write
         gate.set()
         await write
         clock.at += CONTACT_S
-        assert disk.may_probe() is not takes
+        assert disk.should_probe() is not takes
 
     run(go())
 
@@ -66,15 +66,15 @@
             with pytest.raises(LogError):
                 await disk.watch(fail())
             at = clock.at
-            while not disk.may_probe():
+            while not disk.should_probe():
                 clock.at += 0.125
             rests.append(clock.at - at)
-            disk.recovered()
+            disk.note_recovery()
         assert rests == sorted(rests) and rests[0] == 0.5 and rests[-1] == 4.0
         clock.at += 60
         with pytest.raises(LogError):
             await disk.watch(fail())
         clock.at += 0.5
-        assert disk.may_probe()  # after a long good time it rests shortly again
+        assert disk.should_probe()  # after a long good time it rests shortly again
 
     run(go())
