--- a/archhatch/share_group/acknowledgements.py
+++ b/archhatch/share_group/acknowledgements.py
@@ -23,8 +23,8 @@
 from .window import EntryState, InvalidTransitionError, ShareEntry
 
 FREE_DELIVERIES = 5  # deliveries after which a released entry begins to wait before the next
-PAUSE_PER_DELIVERY_S = 0.02  # by so much longer for each further delivery, up to quiet_s
-MIN_PAUSE_S = 0.001  # a shorter pause is none: the timers are no finer
+BACKOFF_PER_DELIVERY_S = 0.02  # by so much longer for each further delivery, up to quiet_s
+MIN_BACKOFF_S = 0.001  # a shorter one is none: the timers are no finer
 
 
 class AcknowledgementHandler:
@@ -115,9 +115,9 @@
             if queue is not None:
                 queue.forget_home(entry.item.group)
         extra_deliveries = max(0, entry.delivery_count - FREE_DELIVERIES)
-        pause_s = acknowledgement.pause_s + min(self.host.quiet_s, PAUSE_PER_DELIVERY_S * extra_deliveries)
+        backoff_s = acknowledgement.backoff_s + min(self.host.quiet_s, BACKOFF_PER_DELIVERY_S * extra_deliveries)
         self.host.counters.add("share.release")
-        run.release(entry, not_before=self.host.clock.now() + pause_s if pause_s > MIN_PAUSE_S else 0.0)
+        run.release(entry, not_before=self.host.clock.now() + backoff_s if backoff_s > MIN_BACKOFF_S else 0.0)
 
 
 def _acquired_entry(run: LedPartitions, worker_id: str, acknowledgement: Acknowledgement) -> ShareEntry:
--- a/archhatch/share_group/acquired_entry.py
+++ b/archhatch/share_group/acquired_entry.py
@@ -52,7 +52,7 @@
         failures: Answers of 500 so far.
         score_fails: Answers of 500 to the reward call.
         signals: What the run showed of its replica.
-        pause_s: How long the entry should wait once it is released.
+        backoff_s: How long the entry should wait once it is released.
         is_home_forgotten: Whether the entry's group may move to another replica.
         is_stream_end_reported: Whether the leader is being told that the slot is free.
         acknowledgement: What the leader is to commit, once the state is ACKNOWLEDGING.
@@ -73,7 +73,7 @@
     failures: int = 0
     score_fails: int = 0
     signals: list[Signal] = field(default_factory=list)
-    pause_s: float = 0.0
+    backoff_s: float = 0.0
     is_home_forgotten: bool = False
     is_stream_end_reported: bool = False
     acknowledgement: ReleaseAcknowledgement | FinalAcknowledgement | None = None
--- a/archhatch/share_group/item_runner.py
+++ b/archhatch/share_group/item_runner.py
@@ -106,7 +106,7 @@
             last_event_id=entry.last_event_id,
             versions=sorted(entry.versions),
             failures=entry.failures,
-            pause_s=entry.pause_s,
+            backoff_s=entry.backoff_s,
             is_home_forgotten=entry.is_home_forgotten,
         )
         session.acknowledgements_ready.set()
--- a/archhatch/share_group/item_stream.py
+++ b/archhatch/share_group/item_stream.py
@@ -138,7 +138,7 @@
             if entry.failures >= entry.record.max_attempts:
                 entry.state = WorkState.SCORING
         entry.signal(SignalKind.FAULTED, gap_s)
-        entry.pause_s = gap_s
+        entry.backoff_s = gap_s
 
     def _note_rejection(self, entry: AcquiredEntry, response: aiohttp.ClientResponse) -> None:
         """The replica did not run the item: it is another one, has another version, or is full."""
--- a/archhatch/share_group/messages.py
+++ b/archhatch/share_group/messages.py
@@ -312,7 +312,7 @@
         last_event_id: The last of them.
         versions: The model versions that made them.
         failures: Answers of 500 so far.
-        pause_s: How long the entry should wait.
+        backoff_s: How long the entry should wait.
         is_home_forgotten: Whether the entry's group may move to another replica.
     """
 
@@ -320,7 +320,7 @@
     last_event_id: str = wire("last")
     versions: list[int] = wire("versions")
     failures: int = wire("fails")
-    pause_s: float = wire("pause")
+    backoff_s: float = wire("pause")
     is_home_forgotten: bool = wire("forget_home")
 
 
@@ -353,6 +353,6 @@
         last_event_id=row["last"],
         versions=row["versions"],
         failures=row["fails"],
-        pause_s=row["pause"],
+        backoff_s=row["pause"],
         is_home_forgotten=row["forget_home"],
     )
--- a/archhatch/share_group/replica_feedback.py
+++ b/archhatch/share_group/replica_feedback.py
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from ..rollout_controller.engines import Engine
 
-DOUBT_PAUSE_GAPS = 0.4  # in gap_s: until an order's outcome is cleared up, in most cases
-FULL_PAUSE_GAPS = 0.2  # in gap_s: until one of a full replica's streams has ended, in most cases
+DOUBT_BACKOFF_GAPS = 0.4  # in gap_s: until an order's outcome is cleared up, in most cases
+FULL_BACKOFF_GAPS = 0.2  # in gap_s: until one of a full replica's streams has ended, in most cases
 REJECTIONS = frozenset({SignalKind.DOUBT, SignalKind.FULL})
 PACE_WEIGHT = 0.1  # weight of the newest run in the moving mean of the pace
 
@@ -43,16 +43,16 @@
                 host.engines.remove(engine.instance_id)
                 return
             elif kind in REJECTIONS:
-                self._pause(engine, kind, now)
+                self._back_off(engine, kind, now)
             else:
                 if kind == SignalKind.SERVED and host.placement.policy is not None:
                     host.load_balancer.proofs[engine.service, engine.zone] = now  # its region is alive
                 engine.health.record(kind, now, value)
 
-    def _pause(self, engine: Engine, kind: str, now: float) -> None:
+    def _back_off(self, engine: Engine, kind: str, now: float) -> None:
         """Sends a replica that rejected an item nothing for a moment."""
-        pause_gaps = FULL_PAUSE_GAPS
+        backoff_gaps = FULL_BACKOFF_GAPS
         if kind == SignalKind.DOUBT:
             self.host.orders.verify_replica(engine)
-            pause_gaps = DOUBT_PAUSE_GAPS
-        engine.paused_until = now + self.host.gap_s() * pause_gaps
+            backoff_gaps = DOUBT_BACKOFF_GAPS
+        engine.paused_until = now + self.host.gap_s() * backoff_gaps
--- a/tests/share_group/test_messages.py
+++ b/tests/share_group/test_messages.py
@@ -29,7 +29,7 @@
     "m", 4, 2, AcknowledgeType.ACCEPT, "i-1", [Signal(SignalKind.SERVED, 0.5)], {"InstanceId": "0-0"}
 )
 RELEASE = ReleaseAcknowledgement(
-    "m", 4, 2, AcknowledgeType.RELEASE, "i-1", [], ["a"], "1", [3], failures=1, pause_s=0.5, is_home_forgotten=True
+    "m", 4, 2, AcknowledgeType.RELEASE, "i-1", [], ["a"], "1", [3], failures=1, backoff_s=0.5, is_home_forgotten=True
 )
 DOCUMENTS = [
     (
