--- a/archhatch/rollout_controller/repair.py
+++ b/archhatch/rollout_controller/repair.py
@@ -10,13 +10,13 @@
 from typing import TYPE_CHECKING
 
 from ..jobs import BatchJob, Record, active_members
+from ..jobs.record_state import RECORD_OVERHEAD
 from .host import LeadershipHost
 
 if TYPE_CHECKING:
     from .leadership_term import LeadershipTerm
 
 BURST = 1 << 18  # bytes of repair under way at a time: new records wait behind them
-RECORD_OVERHEAD = 200  # bytes reckoned for a record besides its body
 DONE_CODE = 1000  # the result code of a command that was carried out
 
 JobRecord = tuple[BatchJob, Record]
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -496,7 +496,7 @@
     wal.start()
     await record_store.take_id("s-0001")
     store = FakeStore(clock)
-    store.record_store = store.shelves["me"] = record_store
+    store.record_store = store.record_stores["me"] = record_store
     store.replicator = _LogCopier(store)
     first = await _hold_run(store, "llm", 1)
     clock.at += 1.25
@@ -902,7 +902,7 @@
         assert (told["orders"], told["noted"], told["tick"]) == ({"replica-1": 0.0}, {}, None)
         record_store.wal.start()
         store = FakeStore(clock)
-        store.record_store = store.shelves["me"] = record_store
+        store.record_store = store.record_stores["me"] = record_store
         store.replicator = _LogCopier(store)
         leadership = await _hold_run(store, "llm", 2)
         batch_job = leadership.batch_jobs["lot-1"]
--- a/tests/jobs/test_batch_job.py
+++ b/tests/jobs/test_batch_job.py
@@ -30,7 +30,7 @@
 }
 
 
-def test_good_lot():
+def test_good_job():
     raw = orjson.dumps(LOT)
     assert check_job("l", raw) == "m"
     batch_job = read_job({"lot": "l", "run": "m", "host": "h", "path": "/p/"}, raw, 5.0)
@@ -64,7 +64,7 @@
         lambda d: d["Entries"].append(7),
     ],
 )
-def test_malformed_lots(change):
+def test_malformed_jobs(change):
     doc = copy.deepcopy(LOT)
     change(doc)
     with pytest.raises(InvalidJobError):
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize(
     "job_id, raw", [("", orjson.dumps(LOT)), ("l", b""), ("l", b"[]"), ("l", orjson.dumps(LOT)[:-9])]
 )
-def test_no_lot_at_all(job_id, raw):
+def test_no_job_at_all(job_id, raw):
     with pytest.raises(InvalidJobError):
         check_job(job_id, raw)
 
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("promised, by, taken, after", CASES)
-def test_shelf_takes_by_term(run, clock, promised, by, taken, after):
+def test_record_store_takes_by_term(run, clock, promised, by, taken, after):
     async def go():
         record_store = RecordStore(MemBook(), clock, Counters())
         if promised:
@@ -137,7 +137,7 @@
     run(go())
 
 
-def test_shelf_after_a_loss_of_power(run, clock):
+def test_record_store_after_a_loss_of_power(run, clock):
     async def go():
         wal = MemBook()
         record_store = RecordStore(wal, clock, Counters())
--- a/tests/jobs/test_quorum.py
+++ b/tests/jobs/test_quorum.py
@@ -89,7 +89,7 @@
 
 
 class Node:
-    """What a reign needs of a store."""
+    """What a leadership term needs of a store."""
 
     confirmed, fetch, ask_store = StoreNode.confirmed, StoreNode.fetch, StoreNode.ask_store
 
@@ -252,7 +252,7 @@
     run(go())
 
 
-def test_an_edge_with_old_news_does_not_say_that_a_lot_is_gone(run, clock):
+def test_an_edge_with_old_news_does_not_say_that_a_job_is_gone(run, clock):
     async def go():
         site = Site(clock, quorum_settings(Machines=1), 3)
         old = orjson.loads(orjson.dumps(site.value))
--- a/tests/jobs/test_record_store.py
+++ b/tests/jobs/test_record_store.py
@@ -227,7 +227,7 @@
 
 
 @pytest.mark.parametrize("limit, size, taken", [(0, 90_000, True), (100_000, 500, True), (100_000, 60_000, None)])
-def test_a_new_lot_leaves_the_reserve(run, clock, limit, size, taken):
+def test_a_new_job_leaves_the_reserve(run, clock, limit, size, taken):
     async def go():
         record_store = real(InMemoryDisk(), clock, limit_bytes=limit)
         assert await record_store.append([record("L", body=bytes(size)), RESULT, END]) == [taken, True, True]
--- a/tests/rollout_controller/test_leadership_term.py
+++ b/tests/rollout_controller/test_leadership_term.py
@@ -12,11 +12,11 @@
 from archhatch.jobs import DeposedError, Record
 
 
-def lot_rec():
+def job_record():
     return Record({"k": "L", "lot": "l", "run": "s", "host": "h", "path": "/p/", "by": 1}, orjson.dumps(LOT))
 
 
-def res(pos, term, item):
+def result_record(pos, term, item):
     return Record(
         {"k": "R", "lot": "l", "run": "s", "pos": pos, "term": term, "item": item, "by": term},
         orjson.dumps({"InstanceId": item, "t": term}),
@@ -38,8 +38,8 @@
 def test_adopt(run, clock, why, held, items, anew):
     async def go():
         store = FakeStore(clock)
-        for n, record_store in store.shelves.items():
-            await record_store.append([lot_rec()] + [res(*r) for r in held.get(n, [])])
+        for n, record_store in store.record_stores.items():
+            await record_store.append([job_record()] + [result_record(*r) for r in held.get(n, [])])
         leadership = LeadershipTerm(store, "s", 5)
         await leadership.begin()
         batch_job = leadership.batch_jobs["l"]
@@ -59,11 +59,11 @@
     "holders, silent, taken",
     [(("me", "b"), "c", True), (("b",), "c", True), (("b", "c"), "me", True), (("b", "c"), "b", True)],
 )
-def test_a_lot_on_two_stores_is_found_without_any_one(run, clock, holders, silent, taken):
+def test_a_job_on_two_stores_is_found_without_any_one(run, clock, holders, silent, taken):
     async def go():
         store = FakeStore(clock)
         for n in holders:
-            await store.shelves[n].append([lot_rec()])
+            await store.record_stores[n].append([job_record()])
         store.silent = {silent} - {"me"}
         leadership = LeadershipTerm(store, "s", 2)
         await leadership.begin()
@@ -75,7 +75,7 @@
 def test_higher_term_ends_it(run, clock):
     async def go():
         store = FakeStore(clock)
-        await store.shelves["c"].prepare("s", 9)
+        await store.record_stores["c"].prepare("s", 9)
         leadership = LeadershipTerm(store, "s", 5)
         await leadership.begin()
         assert leadership.state == "over" and not leadership.is_confirmed() and not leadership.may_order()
@@ -88,7 +88,7 @@
     async def go():
         store = FakeStore(clock)
         for n in ("b", "c"):
-            await store.shelves[n].append([Record({"k": "O", "lot": "", "run": "s", "iid": "e1", "by": 1})])
+            await store.record_stores[n].append([Record({"k": "O", "lot": "", "run": "s", "iid": "e1", "by": 1})])
         clock.at += age
         leadership = LeadershipTerm(store, "s", 2)
         await leadership.begin()
@@ -105,8 +105,8 @@
 
 async def holding(clock):
     store = FakeStore(clock)
-    for n in store.shelves:
-        await store.shelves[n].append([lot_rec()])
+    for n in store.record_stores:
+        await store.record_stores[n].append([job_record()])
     leadership = LeadershipTerm(store, "s", 2)
     await leadership.begin()
     store.replicator.gate.clear()
@@ -147,14 +147,14 @@
 
 
 @pytest.mark.parametrize("why, waits, good, name", WAITERS, ids=[w[0] for w in WAITERS])
-@pytest.mark.parametrize("how", ["a store knows a higher term", "the reign is over"])
-def test_waiters_are_told_that_the_reign_is_over(run, clock, how, why, waits, good, name):
+@pytest.mark.parametrize("how", ["a store knows a higher term", "the term is over"])
+def test_waiters_are_told_that_the_term_is_over(run, clock, how, why, waits, good, name):
     async def go():
         store, leadership = await holding(clock)
         tasks = [asyncio.ensure_future(c) for c in waits(leadership)]
         while len(store.replicator.puts) < len(tasks):
             await asyncio.sleep(0)
-        if how == "the reign is over":
+        if how == "the term is over":
             leadership.step_down()
         else:
             store.replicator.deposed = True
--- a/tests/rollout_controller/test_load_concurrency.py
+++ b/tests/rollout_controller/test_load_concurrency.py
@@ -13,7 +13,7 @@
     return r
 
 
-ROOMS = [  # engines, loads as (seconds, at once), least and most room after them
+LOADS = [  # engines, loads as (seconds, at once), least and most room after them
     (24, [], 4, 4),
     (5, [], 2, 2),
     (1, [], 2, 2),
@@ -27,12 +27,12 @@
 ]
 
 
-@pytest.mark.parametrize("engines, samples, least, most", ROOMS)
-def test_room(engines, samples, least, most):
+@pytest.mark.parametrize("engines, samples, least, most", LOADS)
+def test_limit(engines, samples, least, most):
     assert least <= int(learnt(engines, samples).limit) <= most
 
 
-def test_room_follows_the_engines():
+def test_limit_follows_the_engines():
     r = learnt(5, [])
     assert r.allows_another(1) and not r.allows_another(2)
     r.resize(60)
--- a/tests/rollout_controller/test_load_limit.py
+++ b/tests/rollout_controller/test_load_limit.py
@@ -49,7 +49,7 @@
     assert live_requests.totals(now) == busy
 
 
-def test_live_tells_the_first_after_a_lull_at_once(clock):
+def test_live_tells_the_first_after_a_pause_at_once(clock):
     state_board = StateBoard()
     live = Live(state_board, clock, 1.0)
     live.enter("s")
--- a/tests/rollout_controller/test_scoring.py
+++ b/tests/rollout_controller/test_scoring.py
@@ -109,7 +109,7 @@
     run(go())
 
 
-def test_a_place_that_comes_as_the_lot_ends_is_not_lost(run, clock):
+def test_a_place_that_comes_as_the_job_ends_is_not_lost(run, clock):
     async def go():
         store, sc = setup(clock)
         tasks = [asyncio.ensure_future(sc.score(work(n), (False, 0, n))) for n in "abc"]
--- a/tests/rollout_controller/test_weight_orders.py
+++ b/tests/rollout_controller/test_weight_orders.py
@@ -69,7 +69,7 @@
         return Resp(status, {})
 
 
-class FakeReign:
+class FakeLeadership:
     def __init__(self, clock):
         self.run, self.term, self.batch_jobs, self.state = "s", 7, {}, "holding"
         self.clock, self.allowed, self.noted, self.right_s = clock, True, [], 0.1
@@ -117,7 +117,7 @@
         leader=SimpleNamespace(lacks_replicas=lambda leadership, model: False),
         task_group=None,
     )
-    store.leaderships = {"s": FakeReign(clock)}
+    store.leaderships = {"s": FakeLeadership(clock)}
     store.tasks = []
     store.task_group = SimpleNamespace(
         spawn=lambda name, function, *args: store.tasks.append(asyncio.ensure_future(function(*args)))
@@ -273,7 +273,7 @@
     assert got == loaded
 
 
-REIGN = [
+TERM_TRANSITIONS = [
     ("reading", "gathered", "holding"),
     ("reading", "deposed", "over"),
     ("holding", "deposed", "over"),
@@ -281,8 +281,8 @@
 ]
 
 
-@pytest.mark.parametrize("state, sign, dest", REIGN)
-def test_states_of_a_reign(state, sign, dest):
+@pytest.mark.parametrize("state, sign, dest", TERM_TRANSITIONS)
+def test_states_of_a_term(state, sign, dest):
     model = SimpleNamespace()
     Machine(
         model, states=["reading", "holding", "over"], initial=state, transitions=TRANSITIONS, auto_transitions=False
--- a/tests/support/leadership_rig.py
+++ b/tests/support/leadership_rig.py
@@ -31,7 +31,7 @@
 
 
 class FakeStore:
-    """A store whose neighbours are shelves in the same process."""
+    """A store whose neighbours are record stores in the same process."""
 
     def __init__(self, clock, names=("me", "b", "c")):
         self.id, self.clock, self.settings = "me", clock, BOOT
@@ -42,8 +42,8 @@
             0.01,
         )
         self.task_group = TaskGroup(self.log, self.counters)
-        self.shelves = {n: RecordStore(MemBook(), clock, Counters()) for n in names}
-        self.record_store, self.quorum = self.shelves["me"], Quorum.from_settings(BOOT)
+        self.record_stores = {n: RecordStore(MemBook(), clock, Counters()) for n in names}
+        self.record_store, self.quorum = self.record_stores["me"], Quorum.from_settings(BOOT)
         self.replicator = FakeCopier(self)
         self.config_watcher, self.silent, self.proof = self, set(), True
 
@@ -51,7 +51,7 @@
         return 1000, {"stores": self.members(), "runs": {}}
 
     def members(self):
-        return {n: {"ip": n, "state": "active", "zone": "z"} for n in self.shelves}
+        return {n: {"ip": n, "state": "active", "zone": "z"} for n in self.record_stores}
 
     def addr_of(self, m):
         return m["ip"]
@@ -63,8 +63,8 @@
         return self.proof
 
     async def ask_store(self, sid, address, verb, doc):
-        return None if sid in self.silent else await self.shelves[sid].prepare(doc["run"], doc["term"])
+        return None if sid in self.silent else await self.record_stores[sid].prepare(doc["run"], doc["term"])
 
     async def fetch(self, sid, address, job_id, poss, batch_job):
-        records = self.shelves[sid].fetch(job_id, poss, batch_job)
+        records = self.record_stores[sid].fetch(job_id, poss, batch_job)
         return [Record(orjson.loads(orjson.dumps(r.head)), r.body) for r in records]
