--- a/archhatch/control/feed.py
+++ b/archhatch/control/feed.py
@@ -91,7 +91,7 @@
         if question["who"]["klass"] == STORE:
             node.stores.record_contact(question["who"], now)
         node.peers.merge_live_requests(question["who"]["id"], question["live"])
-        node.regions.heed(question.get("served", []))
+        node.regions.record_answers(question.get("served", []))
         end = now + question["hold"]
         while True:
             if node.leaving or not node.check_serving():
--- a/archhatch/control/peers.py
+++ b/archhatch/control/peers.py
@@ -130,7 +130,7 @@
         has_new_nodes = _ids_of(control_nodes) != report.control_nodes
         return self._ping(
             control_nodes=control_nodes if has_new_nodes else None,
-            served_regions=node.regions.words() if node.regions.served else None,
+            served_regions=node.regions.recent_answers() if node.regions.answered_at else None,
             live_requests=node.live.edge_totals(now),
             stores=node.stores.changes_since(report.store_version, now),
             replicas=node.registry.heartbeats_since(report.heartbeat_version, now),
@@ -199,7 +199,7 @@
         is_missing_stores = self._merge_stores(ping.stores or [], now)
         if ping.live_requests is not None:
             self.merge_live_totals(sender["id"], ping.live_requests)
-        node.regions.heed(ping.served_regions or [])
+        node.regions.record_answers(ping.served_regions or [])
         for shard in node.registers.note_chosen_versions(ping.chosen_versions):
             node.task_group.spawn("fetch-state", self.fetch_state, sender["addr"], shard, sender["id"])
         return is_missing_replicas or is_missing_stores
--- a/archhatch/data_plane/edge.py
+++ b/archhatch/data_plane/edge.py
@@ -116,7 +116,7 @@
     async def _parts_loop(self) -> None:
         turn = 0
         while True:
-            if self.placement.fold(self.config_watcher.shards.get("plan")):
+            if self.placement.update(self.config_watcher.shards.get("plan")):
                 self.log.info("placement policy: {}", self.placement)
             doc = (self.config_watcher.shards.get("plan") or {}).get("plan")
             if doc is not None and (self.plan is None or doc["Revision"] > self.plan.stamp):
--- a/archhatch/data_plane/relay.py
+++ b/archhatch/data_plane/relay.py
@@ -191,7 +191,7 @@
     def _is_to_move(self, line) -> bool:
         """Whether a planned move takes the stream away from its replica, and it can go on at another."""
         route, load_balancer = self.route, self.relay.load_balancer
-        if not (route.resumable and self.sends_left and load_balancer.placement.leaves(route, line.zone)):
+        if not (route.resumable and self.sends_left and load_balancer.placement.is_leaving(route, line.zone)):
             return False
         return load_balancer.has_other(self.service, line.iid, route)
 
--- a/archhatch/evacuation/client.py
+++ b/archhatch/evacuation/client.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from ..region_policy.client import ControlPlane, PolicyClientError
+from ..region_policy.control_plane import CommandFailedError, ControlPlane
 from ..runtime import SettingsError, read_settings
 from .plans import InvalidPlanError, read_plan
 
@@ -62,7 +62,7 @@
             return 2
         try:
             return asyncio.run(command(*args[1:]))
-        except (SettingsError, PolicyClientError) as e:
+        except (SettingsError, CommandFailedError) as e:
             print(f"archhatch: {e}", file=sys.stderr)
         except InvalidPlanError as e:
             print(f"archhatch: evacuate: {args[1]}: {e}", file=sys.stderr)
@@ -73,7 +73,7 @@
             body = None if doc is None else orjson.dumps(doc)
             status, answer = await control.call(method, f"/api/evacuations{path}", body)
         if status != 200:
-            raise PolicyClientError(f"code {answer.get('Error')} {answer.get('Says')}: {answer.get('Why')}")
+            raise CommandFailedError(f"code {answer.get('Error')} {answer.get('Says')}: {answer.get('Why')}")
         return answer
 
     async def _plan(self, path: str) -> int:
@@ -81,9 +81,9 @@
             with open(path, "rb") as file:
                 doc = tomllib.load(file)
         except OSError as e:
-            raise PolicyClientError(f"{path}: {e.strerror}") from e
+            raise CommandFailedError(f"{path}: {e.strerror}") from e
         except (tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
-            raise PolicyClientError(f"{path}: is not TOML: {e}") from e
+            raise CommandFailedError(f"{path}: is not TOML: {e}") from e
         plan = read_plan(doc)
         got = await self._call("POST", "", {**plan, "DryRun": bool(self.options.dry_run)})
         print("would be taken:" if self.options.dry_run else "taken:")
--- a/archhatch/evacuation/controller.py
+++ b/archhatch/evacuation/controller.py
@@ -55,7 +55,7 @@
 
     def _needs(self, rules: list) -> Needs:
         value = self._val()
-        self.placement.fold(value)
+        self.placement.update(value)
         return Needs.of(RoutingTable(value["plan"]), self.placement, rules)
 
     def lacks(self, plan: dict, rules: list) -> list:
--- a/archhatch/region_policy/client.py
+++ b/archhatch/region_policy/client.py
@@ -1,87 +1,36 @@
-"""The operator's side of a placement policy: check, put, get and explain it, and a word on a region."""
+"""The command line of the placement policy: check, put, get and explain it, and take regions out or in."""
 
 from __future__ import annotations
 
 import asyncio
 import sys
+from collections.abc import Callable, Coroutine
 from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
 from urllib.parse import quote
 
-import aiohttp
 import orjson
 
-from ..routing import RoutingTable
+from ..routing import Route, RoutingTable
 from ..routing.schemas import InvalidConfigError, check_config
 from ..runtime import Settings, SettingsError, read_settings
-from .explain import explain
 from .commands import policy_view
+from .control_plane import HTTP_OK, CommandFailedError, ControlPlane
 from .errors import PolicyError
+from .explain import explain
 from .reader import read_policy
 
-USE = """archhatch: policy: say one of
+USAGE = """archhatch: policy: say one of
   policy check FILE                 look for faults, by file and line
   policy put FILE [--match=N]       make it the policy in force, on top of version N (else the newest)
   policy get                        the policy in force, as it was written
   policy explain [FILE] --route=NAME | --host=H --path=P [--regions_out=REGION,...] [--plan=plan.json]
   policy regions                    which regions are in or out, since when and why
-  policy out REGION --reason=WHY    an operator's word: nothing new goes there
+  policy out REGION --reason=WHY    an operator's order: nothing new goes there
   policy in REGION --reason=WHY     it is in again, for all rules"""
 
-
-class PolicyClientError(Exception):
-    """What keeps a command from being done: one line."""
-
-
-class ControlPlane:
-    """Calls control nodes, one seed after the other, until one gives a clear answer.
-
-    >>> # async with ControlPlane(settings) as cp: status, doc = await cp.call("GET", "/api/policy")
-    """
-
-    ROUNDS = 3
-
-    def __init__(self, settings: Settings):
-        self.settings = settings
-
-    async def __aenter__(self):
-        self.http = aiohttp.ClientSession(
-            timeout=aiohttp.ClientTimeout(total=self.settings.seconds("AckTimeoutMs", 0.5))
-        )
-        return self
-
-    async def __aexit__(self, *exc):
-        await self.http.close()
-
-    async def call(self, method: str, path: str, body: bytes | None = None, heads: dict | None = None) -> tuple:
-        why = "SeedPeers is empty"
-        for _ in range(self.ROUNDS):
-            for seed in self.settings.seed_peers:
-                try:
-                    async with self.http.request(method, f"http://{seed}{path}", data=body, headers=heads) as response:
-                        data = await response.read()
-                        if response.status < 500:
-                            return response.status, orjson.loads(data)
-                        why = f"{seed}: status {response.status}"
-                except (aiohttp.ClientError, asyncio.TimeoutError, orjson.JSONDecodeError) as e:
-                    why = f"{seed}: {e or type(e).__name__}"
-        raise PolicyClientError(f"no control node gives a clear answer; the last: {why}")
-
-
-def _text(path: str) -> str:
-    try:
-        with open(path, encoding="utf-8") as f:
-            return f.read()
-    except OSError as e:
-        raise PolicyClientError(f"{path}: {e.strerror}") from e
-    except UnicodeDecodeError as e:
-        raise PolicyClientError(f"{path}:1: (file): is not UTF-8") from e
-
-
-def _good(got: tuple) -> dict:
-    status, doc = got
-    if status != 200:
-        raise PolicyClientError(f"code {doc.get('Error')} {doc.get('Says')}: {doc.get('Why')}")
-    return doc
+EXIT_OK, EXIT_FAILURE, EXIT_USAGE = 0, 1, 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,15 +58,27 @@
     reason: str | None = None
 
 
-class PolicyClient:
-    """Runs one command; its status: 0 done, 1 a fault, 2 wrong use.
+@dataclass(frozen=True, slots=True)
+class _Situation:
+    """What an explanation is based on.
 
-    >>> # status = PolicyClient(PolicyOptions()).run(["check", "policy.toml"])
+    Attributes:
+        routes: The configuration.
+        view: What the feed carries of policy and regions.
     """
 
-    def __init__(self, opts: PolicyOptions):
-        self.opts = opts
-        self.table = {
+    routes: RoutingTable
+    view: dict
+
+
+class PolicyClient:
+    """Runs a command of the command line."""
+
+    def __init__(self, options: PolicyOptions) -> None:
+        self._options = options
+        self._commands: dict[
+            tuple[str, int], Callable[..., Coroutine[Any, Any, int]]
+        ] = {  # by name and number of arguments
             ("check", 1): self._check,
             ("put", 1): self._put,
             ("get", 0): self._get,
@@ -128,119 +89,155 @@
             ("in", 1): self._in,
         }
 
-    def run(self, args: list) -> int:
-        function = self.table.get((args[0], len(args) - 1)) if args else None
-        if function is None:
-            print(USE, file=sys.stderr)
-            return 2
+    def run(self, args: list[str]) -> int:
+        """Runs one command.
+
+        Args:
+            args: The command's name and its arguments.
+
+        Returns:
+            The exit status: EXIT_OK, EXIT_FAILURE, or EXIT_USAGE for wrong use.
+        """
+        command = self._commands.get((args[0], len(args) - 1)) if args else None
+        if command is None:
+            print(USAGE, file=sys.stderr)
+            return EXIT_USAGE
         try:
-            return asyncio.run(function(*args[1:]))
-        except SettingsError as e:
-            print(f"archhatch: {e}", file=sys.stderr)
-        except PolicyClientError as e:
-            print(f"archhatch: policy: {e}", file=sys.stderr)
-        except PolicyError as e:
-            for row in e.faults:
-                print(row, file=sys.stderr)
-        return 1
-
-    def _boot(self) -> Settings:
-        return read_settings(self.opts.settings)
+            return asyncio.run(command(*args[1:]))
+        except SettingsError as error:
+            print(f"archhatch: {error}", file=sys.stderr)
+        except CommandFailedError as error:
+            print(f"archhatch: policy: {error}", file=sys.stderr)
+        except PolicyError as error:
+            for fault in error.faults:
+                print(fault, file=sys.stderr)
+        return EXIT_FAILURE
+
+    def _settings(self) -> Settings:
+        return read_settings(self._options.settings)
 
     async def _check(self, path: str) -> int:
-        text, zones = _text(path), {}
-        if self.opts.settings:
-            zones = self._boot().zones
-        doc = read_policy(text, path, set(zones.values()))
-        print(
-            f"sound: version {doc['version']}, {len(doc['rules'])} rules; "
-            + ("regions checked against the settings" if zones else "regions not checked: no --settings with Zones")
-        )
-        return 0
+        text = _read_text(path)
+        zones = self._settings().zones if self._options.settings else {}
+        policy = read_policy(text, path, set(zones.values()))
+        scope = "regions checked against the settings" if zones else "regions not checked: no --settings with Zones"
+        print(f"sound: version {policy['version']}, {len(policy['rules'])} rules; {scope}")
+        return EXIT_OK
 
     async def _put(self, path: str) -> int:
-        settings, text = self._boot(), _text(path)
+        settings = self._settings()
+        text = _read_text(path)
         read_policy(text, path, set(settings.zones.values()))
-        async with ControlPlane(settings) as cp:
-            match = self.opts.match
-            if match is None:
-                status, doc = await cp.call("GET", "/api/policy")
-                match = doc["Version"] if status == 200 else 0
-            doc = _good(await cp.call("PUT", "/api/policy", text.encode(), {"If-Match": str(match)}))
-        print(f"version {doc['Version']} is in force")
-        return 0
+        async with ControlPlane(settings) as control_plane:
+            expected_version = self._options.match
+            if expected_version is None:
+                current = await control_plane.call("GET", "/api/policy")
+                expected_version = current.document["Version"] if current.status == HTTP_OK else 0
+            headers = {"If-Match": str(expected_version)}
+            answer = await control_plane.call("PUT", "/api/policy", text.encode(), headers)
+        print(f"version {answer.check()['Version']} is in force")
+        return EXIT_OK
 
     async def _get(self) -> int:
-        async with ControlPlane(self._boot()) as cp:
-            print(_good(await cp.call("GET", "/api/policy"))["Text"], end="")
-        return 0
+        async with ControlPlane(self._settings()) as control_plane:
+            answer = await control_plane.call("GET", "/api/policy")
+        print(answer.check()["Text"], end="")
+        return EXIT_OK
 
     async def _regions(self) -> int:
-        async with ControlPlane(self._boot()) as cp:
-            doc = _good(await cp.call("GET", "/api/regions"))
-        for row in doc["RegionTable"]:
-            zones = ", ".join(row["ZoneList"]) or "none"
-            print(f"{row['Name']}: {row['OperState']}, epoch {row['Epoch']}, zones {zones}")
-            for o in row["OutTable"]:
-                print(
-                    f"  out for {'all rules' if o['Rule'] == '*' else o['Rule']} since epoch {o['Epoch']}, "
-                    f"by {o['By']}: {o['Reason']}"
-                )
-        return 0
-
-    async def _word(self, region: str, state: str) -> int:
-        doc = orjson.dumps({"OperState": state, "Reason": self.opts.reason or ""})
-        async with ControlPlane(self._boot()) as cp:
-            got = _good(await cp.call("POST", f"/api/regions/{quote(region, safe='')}", doc))
-        print(f"{region} is {state}, epoch {got['Epoch']}")
-        return 0
+        async with ControlPlane(self._settings()) as control_plane:
+            answer = await control_plane.call("GET", "/api/regions")
+        for row in answer.check()["RegionTable"]:
+            print("\n".join(_describe_region(row)))
+        return EXIT_OK
+
+    async def _set_state(self, region: str, state: str) -> int:
+        order = orjson.dumps({"OperState": state, "Reason": self._options.reason or ""})
+        async with ControlPlane(self._settings()) as control_plane:
+            answer = await control_plane.call("POST", f"/api/regions/{quote(region, safe='')}", order)
+        print(f"{region} is {state}, epoch {answer.check()['Epoch']}")
+        return EXIT_OK
 
     async def _out(self, region: str) -> int:
-        return await self._word(region, "out")
+        return await self._set_state(region, "out")
 
     async def _in(self, region: str) -> int:
-        return await self._word(region, "in")
+        return await self._set_state(region, "in")
 
     async def _explain(self, path: str | None = None) -> int:
-        opts = self.opts
-        if not opts.route and not (opts.host and opts.path):
-            print(USE, file=sys.stderr)
-            return 2
-        plan, value = await self._facts(path)
-        if opts.route:
-            route = next((x for x in plan.routes() if x.name == opts.route), None)
-        else:
-            route = plan.route(opts.host, opts.path)
+        options = self._options
+        if not options.route and not (options.host and options.path):
+            print(USAGE, file=sys.stderr)
+            return EXIT_USAGE
+        situation = await self._load_situation(path)
+        route = self._find_route(situation.routes)
         if route is None:
-            raise PolicyClientError("the configuration has no such route")
-        for row in explain(value, route, opts.regions_out or []):
-            print(row)
-        return 0
-
-    async def _facts(self, path: str | None) -> tuple:
-        """The configuration, and what the news of the 'plan' part would say of policy and regions."""
-        text = _text(path) if path else None
-        settings = self._boot() if not (text and self.opts.plan) or self.opts.settings else None
-        zones = settings.zones if settings else {}
-        if self.opts.plan:
-            try:
-                plan = RoutingTable(check_config(orjson.loads(_text(self.opts.plan))))
-            except (orjson.JSONDecodeError, InvalidConfigError) as e:
-                raise PolicyClientError(f"{self.opts.plan}: {e}") from e
-        value: dict = {}
-        if not (text and self.opts.plan):
-            async with ControlPlane(settings) as cp:
-                if not self.opts.plan:
-                    plan = RoutingTable(_good(await cp.call("GET", "/api/config")))
-                status, now = await cp.call("GET", "/api/policy")
-                if status == 200:
-                    value = {"regions": _good(await cp.call("GET", "/api/regions"))["RegionTable"]}
-                    zones, text = now["ZoneMap"], text or now["Text"]
-        regions = {
-            r["Name"]: {"epoch": r["Epoch"], "out": {o["Rule"]: o for o in r["OutTable"]}}
-            for r in value.get("regions", [])
-        }
-        if text is None:
-            return plan, {}
-        doc = read_policy(text, path or "the policy in force", set(zones.values()))
-        return plan, {**policy_view({"policy": {**doc, "zones": zones}}), "regions": regions}
+            raise CommandFailedError("the configuration has no such route")
+        for line in explain(situation.view, route, options.regions_out or []):
+            print(line)
+        return EXIT_OK
+
+    def _find_route(self, routes: RoutingTable) -> Route | None:
+        """Returns the route that the options name; a name wins over host and path."""
+        options = self._options
+        if options.route:
+            return next((route for route in routes.routes() if route.name == options.route), None)
+        return routes.route(options.host or "", options.path or "")
+
+    async def _load_situation(self, path: str | None) -> _Situation:
+        """Loads configuration, policy and regions; what the files do not give is asked of the control plane."""
+        text = _read_text(path) if path else None
+        plan_path = self._options.plan
+        if text and plan_path:
+            zones = self._settings().zones if self._options.settings else {}
+            return _Situation(_read_routes(plan_path), _view(text, path, zones, []))
+        settings = self._settings()
+        zones = settings.zones
+        regions: list[dict] = []
+        routes = _read_routes(plan_path) if plan_path else None
+        async with ControlPlane(settings) as control_plane:
+            if routes is None:
+                routes = RoutingTable((await control_plane.call("GET", "/api/config")).check())
+            current = await control_plane.call("GET", "/api/policy")
+            if current.status == HTTP_OK:
+                regions = (await control_plane.call("GET", "/api/regions")).check()["RegionTable"]
+                zones = current.document["ZoneMap"]
+                text = text or current.document["Text"]
+        return _Situation(routes, _view(text, path, zones, regions))
+
+
+def _read_text(path: str) -> str:
+    try:
+        return Path(path).read_text(encoding="utf-8")
+    except OSError as error:
+        raise CommandFailedError(f"{path}: {error.strerror}") from error
+    except UnicodeDecodeError as error:
+        raise CommandFailedError(f"{path}:1: (file): is not UTF-8") from error
+
+
+def _read_routes(path: str) -> RoutingTable:
+    try:
+        return RoutingTable(check_config(orjson.loads(_read_text(path))))
+    except (orjson.JSONDecodeError, InvalidConfigError) as error:
+        raise CommandFailedError(f"{path}: {error}") from error
+
+
+def _view(text: str | None, path: str | None, zones: dict, region_rows: list[dict]) -> dict:
+    """Returns policy and regions as the feed carries them, from a policy's text and the rows of a region table."""
+    if text is None:
+        return {}
+    policy = read_policy(text, path or "the policy in force", set(zones.values()))
+    regions = {
+        row["Name"]: {"epoch": row["Epoch"], "out": {out["Rule"]: out for out in row["OutTable"]}}
+        for row in region_rows
+    }
+    return {**policy_view({"policy": {**policy, "zones": zones}}), "regions": regions}
+
+
+def _describe_region(row: dict) -> list[str]:
+    zones = ", ".join(row["ZoneList"]) or "none"
+    lines = [f"{row['Name']}: {row['OperState']}, epoch {row['Epoch']}, zones {zones}"]
+    for out in row["OutTable"]:
+        scope = "all rules" if out["Rule"] == "*" else out["Rule"]
+        lines.append(f"  out for {scope} since epoch {out['Epoch']}, by {out['By']}: {out['Reason']}")
+    return lines
--- a/archhatch/region_policy/patterns.py
+++ b/archhatch/region_policy/patterns.py
@@ -5,42 +5,52 @@
 import re
 from functools import lru_cache
 
+COMPILED_PATTERNS = 1024  # patterns kept compiled: more than a policy of the permitted size is expected to hold
 
-def fits(pattern: str, name: str) -> bool:
-    """Whether a name fits a pattern.
 
-    >>> fits("yard-*", "yard-quote"), fits("yard", "yard-quote")
+def matches(pattern: str, name: str) -> bool:
+    """Whether a name matches a pattern.
+
+    >>> matches("yard-*", "yard-quote"), matches("yard", "yard-quote")
     (True, False)
     """
     return _compiled(pattern).fullmatch(name) is not None
 
 
-@lru_cache(maxsize=1024)
-def _compiled(pattern: str):
+@lru_cache(maxsize=COMPILED_PATTERNS)
+def _compiled(pattern: str) -> re.Pattern[str]:
     return re.compile("".join({"*": ".*", "?": "."}.get(c, re.escape(c)) for c in pattern), re.DOTALL)
 
 
-def plain(pattern: str) -> bool:
-    """Whether a pattern is one name and no more."""
+def is_literal(pattern: str) -> bool:
+    """Whether a pattern has no wildcard, so that it matches one name only."""
     return "*" not in pattern and "?" not in pattern
 
 
-def meet(a: str, b: str) -> bool:
-    """Whether some name fits both patterns.
+def overlap(first: str, second: str) -> bool:
+    """Whether some name matches both patterns.
 
-    >>> meet("a*", "*b"), meet("a*", "b*"), meet("a?", "a"), meet("*", "")
+    >>> overlap("a*", "*b"), overlap("a*", "b*"), overlap("a?", "a"), overlap("*", "")
     (True, False, False, True)
     """
-    row = [False] * (len(b) + 1)  # row[j]: the first i characters of a and the first j of b have a name in common
+    # row[j]: the prefix of first that was read and the first j characters of second have a name in common
+    row = [False] * (len(second) + 1)
     row[0] = True
-    for j, c in enumerate(b):
-        row[j + 1] = row[j] and c == "*"
-    for c in a:
-        new = [row[0] and c == "*"]
-        for j, d in enumerate(b):
-            if c == "*" or d == "*":
-                new.append((c == "*" and (row[j + 1] or new[j])) or (d == "*" and (new[j] or row[j + 1])))
-            else:
-                new.append(row[j] and (c == d or "?" in (c, d)))
-        row = new
+    for j, char in enumerate(second):
+        row[j + 1] = row[j] and char == "*"
+    for char in first:
+        row = _next_row(row, char, second)
     return row[-1]
+
+
+def _next_row(row: list[bool], char: str, second: str) -> list[bool]:
+    """The row of overlap() for a prefix that is longer by one character."""
+    new = [row[0] and char == "*"]
+    for j, other in enumerate(second):
+        if "*" in (char, other):
+            skips_first = char == "*" and (row[j + 1] or new[j])
+            skips_second = other == "*" and (new[j] or row[j + 1])
+            new.append(skips_first or skips_second)
+        else:
+            new.append(row[j] and (char == other or "?" in (char, other)))
+    return new
--- a/archhatch/region_policy/placement.py
+++ b/archhatch/region_policy/placement.py
@@ -1,11 +1,16 @@
-"""Where a lane's requests may run now: the one place that all senders ask."""
+"""Where the requests of a route may run now: every sender of requests asks here."""
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING, NamedTuple
+
 from ..evacuation import Moves
 from .policy import Policy, Rule
 
-ALL = "*"  # the scope of an operator's word on a region: it counts for all rules
+if TYPE_CHECKING:
+    from ..routing import Route
+
+ALL = "*"  # the scope of an operator's order on a region: it counts for all rules
 
 
 def is_out(facts: dict, region: str, rule: str) -> bool:
@@ -18,28 +23,51 @@
     return ALL in out or rule in out
 
 
+class _Choice(NamedTuple):
+    """What the policy, the facts and the moves make of one route.
+
+    Attributes:
+        rule: The rule that binds it, or None.
+        regions: The regions of the rule that are in, the serving one first.
+        zones: The zones of the serving region.
+    """
+
+    rule: Rule | None
+    regions: list[str]
+    zones: frozenset[str]
+
+
 class Placement:
-    """Folded from the news of the 'plan' part; without a policy everything may run anywhere.
+    """The policy, the agreed facts on regions and the planned moves, as the plan register has them.
+
+    Without a policy everything may run anywhere. What follows for a route is worked out once and kept until the next
+    update: senders ask for each request.
 
     >>> from types import SimpleNamespace as N
     >>> p = Placement(); route = N(name="q", host="h", prefix="/", kind="batch"); p.allows(route, "z1"), p.zones(route)
     (True, None)
-    >>> p.fold({"policy": {"version": 1, "zones": {"z1": "a", "z2": "b"},
-    ...                    "rules": [{"name": "r", "match": [[4, "q"]], "regions": ["a", "b"]}]},
-    ...         "regions": {"a": {"epoch": 1, "out": {"*": {}}}}})
+    >>> p.update({"policy": {"version": 1, "zones": {"z1": "a", "z2": "b"},
+    ...                      "rules": [{"name": "r", "match": [[4, "q"]], "regions": ["a", "b"]}]},
+    ...           "regions": {"a": {"epoch": 1, "out": {"*": {}}}}})
     True
     >>> str(p), p.allows(route, "z1"), p.rank(route, "z1"), p.rank(route, "z2")
     ('version 1; out: a for *', False, None, 0)
     >>> p.order(route), p.allows_store(route, "z1")
     (['b'], True)
+
+    Attributes:
+        policy: The policy in force, or None.
+        region_of: The region of each zone.
+        facts: The agreed facts on regions: which are out, for which rules, since which epoch.
+        moves: The planned evacuations that are not over.
     """
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.policy: Policy | None = None
         self.region_of: dict[str, str] = {}
         self.facts: dict = {}
         self.moves = Moves()
-        self._orders: dict = {}  # lane -> (rule, regions that are in, zones of the first of them)
+        self._choices: dict[tuple, _Choice] = {}  # by the fields of a route that rules match on
 
     def __str__(self) -> str:
         if self.policy is None:
@@ -48,69 +76,78 @@
         moves = f"; moves: {self.moves}" if self.moves.all else ""
         return f"version {self.policy.version}; out: {'; '.join(out) or 'none'}{moves}"
 
-    def fold(self, value: dict | None) -> bool:
-        """Take up the news of the 'plan' part; whether that changed where anything may run."""
-        doc, before = (value or {}).get("policy"), str(self)
-        self.policy = Policy(doc) if doc else None
-        self.region_of = doc["zones"] if doc else {}
-        self.facts = (value or {}).get("regions", {})
-        self.moves = Moves((value or {}).get("evacuations"))
-        self._orders = {}
+    def update(self, value: dict | None) -> bool:
+        """Takes the plan register's value, as the feed or the register has it.
+
+        Returns:
+            Whether that changed where anything may run.
+        """
+        before = str(self)
+        value = value or {}
+        policy = value.get("policy")
+        self.policy = Policy(policy) if policy else None
+        self.region_of = policy["zones"] if policy else {}
+        self.facts = value.get("regions", {})
+        self.moves = Moves(value.get("evacuations"))
+        self._choices = {}
         return str(self) != before
 
-    def _of(self, route) -> tuple:
+    def _choose(self, policy: Policy, route: Route) -> _Choice:
         key = (route.name, route.host, route.prefix, route.kind)
-        got = self._orders.get(key)
-        if got is None:
-            rule = self.policy.rule(route)
-            regions = [] if rule is None else [r for r in rule.regions if not is_out(self.facts, r, rule.name)]
-            if rule is not None:
-                regions = self.moves.order(rule.name, regions)
-            zones = frozenset(z for z, r in self.region_of.items() if r in regions[:1])
-            got = self._orders[key] = (rule, regions, zones)
-        return got
-
-    def rule(self, route) -> Rule | None:
-        """The rule that binds a lane; None if none does."""
-        return None if self.policy is None else self._of(route)[0]
-
-    def order(self, route) -> list | None:
-        """The regions for a lane that are in, in the policy's order; None if no rule binds it."""
-        return None if self.rule(route) is None else self._of(route)[1]
-
-    def zones(self, route) -> frozenset | None:
-        """The zones where a lane's requests run now: those of the first region that is in. None: anywhere."""
+        choice = self._choices.get(key)
+        if choice is None:
+            choice = self._choices[key] = self._work_out(policy, route)
+        return choice
+
+    def _work_out(self, policy: Policy, route: Route) -> _Choice:
+        rule = policy.rule(route)
+        if rule is None:
+            return _Choice(None, [], frozenset())
+        regions = [region for region in rule.regions if not is_out(self.facts, region, rule.name)]
+        regions = self.moves.order(rule.name, regions)
+        serving = regions[:1]
+        return _Choice(rule, regions, frozenset(zone for zone, region in self.region_of.items() if region in serving))
+
+    def rule(self, route: Route) -> Rule | None:
+        """Returns the rule that binds a route, or None if none does."""
+        return None if self.policy is None else self._choose(self.policy, route).rule
+
+    def order(self, route: Route) -> list[str] | None:
+        """Returns the regions for a route that are in, the serving one first; None if no rule binds it."""
+        if self.policy is None:
+            return None
+        choice = self._choose(self.policy, route)
+        return None if choice.rule is None else choice.regions
+
+    def zones(self, route: Route) -> frozenset[str] | None:
+        """Returns the zones where a route's requests run now, those of the serving region; None for anywhere."""
         if self.policy is None:
             return None
-        rule, _, zones = self._of(route)
+        rule, _, zones = self._choose(self.policy, route)
         return None if rule is None else zones
 
-    def rank(self, route, zone: str) -> int | None:
-        """The place of a zone's region in a lane's order, 0 serves now; None if it is out or forbidden."""
+    def rank(self, route: Route, zone: str) -> int | None:
+        """Returns the place of a zone's region in a route's order, 0 for the serving one; None if out or forbidden."""
         order = self.order(route)
         if order is None:
             return 0
         region = self.region_of.get(zone)
         return order.index(region) if region in order else None
 
-    def leaves(self, route, zone: str) -> bool:
-        """Whether a planned move takes a lane's requests away from a zone, so that what runs there is to end or go on
-        elsewhere."""
+    def is_leaving(self, route: Route, zone: str) -> bool:
+        """Whether a planned move takes a route's requests out of a zone: what runs there ends or goes on elsewhere."""
         rule = self.rule(route)
         move = None if rule is None else self.moves.of(rule.name)
-        return (
-            move is not None
-            and move.settling
-            and self.region_of.get(zone) == move.left
-            and not self.allows(route, zone)
-        )
-
-    def allows(self, route, zone: str) -> bool:
-        """Whether a lane's request may be sent to a zone now."""
+        if move is None or not move.settling:
+            return False
+        return self.region_of.get(zone) == move.left and not self.allows(route, zone)
+
+    def allows(self, route: Route, zone: str) -> bool:
+        """Whether a route's request may be sent to a zone now."""
         zones = self.zones(route)
         return zones is None or zone in zones
 
-    def allows_store(self, route, zone: str) -> bool:
-        """Whether records of a lane may lie in a zone: its region is in the rule's list, whether in or out."""
+    def allows_store(self, route: Route, zone: str) -> bool:
+        """Whether records of a route may be kept in a zone: its region is in the rule's list, whether in or out."""
         rule = self.rule(route)
         return rule is None or self.region_of.get(zone) in rule.regions
--- a/archhatch/region_policy/region_monitor.py
+++ b/archhatch/region_policy/region_monitor.py
@@ -1,106 +1,211 @@
-"""A control node's duty: gathers the regions' signs of life, and declares them out and back as the part's owner."""
+"""A control node's background task that declares regions out and in again, from the signs of life it gathers."""
 
 from __future__ import annotations
 
 import asyncio
 import random
+from typing import TYPE_CHECKING, Any, Protocol
 
 from ..routing import RoutingTable
 from .placement import Placement
-from .watch import RegionWatch
+from .watch import Advice, RegionWatch
+
+if TYPE_CHECKING:
+    from ..membership import ReplicaRegistry
+    from ..runtime import Clock, Settings, StateBoard
+
+DONE = 1000  # result code: docs/codes.md
+MISSED_HEARTBEATS = 2.5  # heartbeat intervals after which a replica counts as silent
+RETURN_CONTACT_TIMES = 4  # a rule without a return time of its own waits this many times ContactMs
+JITTER = (0.9, 1.1)  # control nodes must not all look at the same moment
+NEVER = float("-inf")
+
+
+class MonitorNode(Protocol):
+    """What the monitor uses of its control node.
+
+    Attributes:
+        settings: The node's settings.
+        clock: Its clock.
+        log: Its log.
+        registry: The replicas that it knows.
+        state_board: Wakes those who wait for a register to change.
+        heartbeat_interval_s: The interval between looks.
+        quiet_s: A pause between two looks that is longer than this means that the node stood still.
+        started: When the node started, or last stood still, on its clock.
+    """
+
+    settings: Settings
+    clock: Clock
+    log: Any
+    registry: ReplicaRegistry
+    state_board: StateBoard
+    heartbeat_interval_s: float
+    quiet_s: float
+    started: float
+
+    @property
+    def known(self) -> dict[str, dict]:
+        """The newest known state of each register."""
+
+    def has_majority_contact(self) -> bool:
+        """Returns whether a majority of the plan register's group answered lately."""
+
+    def owns(self, shard: str) -> bool:
+        """Returns whether this node runs the register's commands."""
+
+    async def try_command(self, shard: str, name: str, args: dict) -> tuple[int, Any]:
+        """Runs a command; returns its code and document."""
 
 
 class RegionMonitor:
-    """run() watches while a policy is set; without one it sleeps until the plan part changes.
+    """Watches the regions while a policy is set; without one it sleeps until the plan register changes.
+
+    Every control node watches, so that a new owner of the register knows at once; only the owner declares.
 
-    >>> # duty = RegionMonitor(core, "plan"); task_group.run_forever("regions", duty.run)
+    Attributes:
+        watch: Decides which regions to declare out or in.
+        placement: The policy and the agreed facts on regions.
+        routes: The configuration in force, or None before the first look.
+        answered_at: When a node last had an answer of a service from a zone, by (service, zone).
     """
 
-    def __init__(self, core, shard: str):
-        self.core, self.shard = core, shard
-        settings = core.settings
-        # a replica counts as silent after 2.5 of its beats, and a node after ContactMs
+    def __init__(self, node: MonitorNode, shard: str) -> None:
+        """Creates a monitor.
+
+        Args:
+            node: The control node.
+            shard: The name of the plan register.
+        """
+        self._node = node
+        self._shard = shard
+        settings = node.settings
+        contact_s = settings.seconds("ContactMs")
         self.watch = RegionWatch(
-            max(settings.heartbeat_interval_ms / 1000 * 2.5, settings.seconds("ContactMs")),
-            settings.seconds("ContactMs", 4),
+            quiet_s=max(settings.heartbeat_interval_ms / 1000 * MISSED_HEARTBEATS, contact_s),
+            return_s=settings.seconds("ContactMs", RETURN_CONTACT_TIMES),
         )
-        self.places = Placement()
-        self.plan: RoutingTable | None = None
-        self.served: dict[tuple, float] = {}  # (service, zone) -> when some node last had an answer from there
-        self.last: float | None = None
-
-    def heed(self, words: list) -> None:
-        """Answers that nodes had: [service, zone, seconds ago]."""
-        now = self.core.clock.now()
-        for svc, zone, age in words:
-            self.served[svc, zone] = max(now - age, self.served.get((svc, zone), float("-inf")))
-
-    def words(self) -> list:
-        """All of them that still say something, for other control nodes."""
-        now = self.core.clock.now()
-        self.served = {k: at for k, at in self.served.items() if now - at < self.watch.quiet_s}
-        return [[s, z, now - at] for (s, z), at in self.served.items()]
+        self.placement = Placement()
+        self.routes: RoutingTable | None = None
+        self.answered_at: dict[tuple[str, str], float] = {}
+        self._last_look: float | None = None
+
+    def record_answers(self, answers: list) -> None:
+        """Records answers that nodes had, as rows of [service, zone, seconds ago]."""
+        now = self._node.clock.now()
+        for service, zone, age_s in answers:
+            self.answered_at[service, zone] = max(now - age_s, self.answered_at.get((service, zone), NEVER))
+
+    def recent_answers(self) -> list:
+        """Returns the answers that are not too old to count, in the form of record_answers; forgets the others."""
+        now = self._node.clock.now()
+        self.answered_at = {key: at for key, at in self.answered_at.items() if now - at < self.watch.quiet_s}
+        return [[service, zone, now - at] for (service, zone), at in self.answered_at.items()]
 
     async def run(self) -> None:
-        core = self.core
+        """Looks at the regions at each heartbeat interval, for ever."""
+        node = self._node
         while True:
-            turn = core.state_board.version("plan")
-            value = (core.known.get(self.shard) or {"val": {}})["val"]
+            version = node.state_board.version("plan")
+            value = (node.known.get(self._shard) or {"val": {}})["val"]
             if "policy" not in value or "plan" not in value:
-                self.last = None
-                await core.state_board.wait_for_change("plan", turn)
+                self._last_look = None
+                await node.state_board.wait_for_change("plan", version)
                 continue
-            await self.tend(value)
-            await asyncio.sleep(core.heartbeat_interval_s * random.uniform(0.9, 1.1))
-
-    async def tend(self, value: dict) -> None:
-        """One look at all regions."""
-        core, now = self.core, self.core.clock.now()
-        if not core.has_majority_contact():
-            self.last = None
+            await self.check_regions(value)
+            await asyncio.sleep(node.heartbeat_interval_s * random.uniform(*JITTER))
+
+    async def check_regions(self, value: dict) -> None:
+        """Looks at all regions once and, on the owner of the plan register, declares what has changed.
+
+        Args:
+            value: The value of the plan register, with a policy and a configuration.
+        """
+        node = self._node
+        now = node.clock.now()
+        if not node.has_majority_contact():
+            self._last_look = None
             return
-        if self.last is None or now - self.last > core.quiet_s:
-            self.watch.begin(now)
-        if self.watch.since < core.started:
-            self.watch.begin(core.started)
-        if self.plan is None or self.plan.stamp != value["plan"]["Revision"]:
-            self.plan = RoutingTable(value["plan"])
-        self.places.fold(value)
-        advice = self.watch.advise(self.places.policy, self.places.facts, self._services(), self._heard(), now)
-        if core.owns(self.shard):
-            zones = value["policy"]["zones"]
-            if any(z not in zones for z in core.settings.zones):
-                advice.append(("policy.zones", {"zones": core.settings.zones}))
-            epochs: dict = {}  # after changes of this look: the next one stands on them, and on no one else's
-            for name, args in advice:
-                region = args.get("region")
-                epochs[region] = await self._do(name, {**args, "epoch": epochs.get(region, args.get("epoch"))})
-        self.last = core.clock.now()  # what a command took is no standstill
-
-    async def _do(self, name: str, args: dict) -> int | None:
-        code, doc = await self.core.try_command(self.shard, name, args)
-        if code != 1000 or "region" not in args:
+        self._restart_watch_after_gap(now)
+        routes = self._update_routes(value["plan"])
+        self.placement.update(value)
+        policy = self.placement.policy
+        if policy is None:
+            raise RuntimeError("a look at the regions needs a policy")
+        services = self._services_by_rule(routes)
+        advice = self.watch.advise(policy, self.placement.facts, services, self._last_heard(), now)
+        if node.owns(self._shard):
+            await self._declare(advice, value["policy"]["zones"])
+        self._last_look = node.clock.now()  # after the commands: the time that they took is no standstill
+
+    def _restart_watch_after_gap(self, now: float) -> None:
+        """Restarts the watch if this node was cut off or stood still: it then heard nothing from anyone."""
+        node = self._node
+        if self._last_look is None or now - self._last_look > node.quiet_s:
+            self.watch.restart(now)
+        if self.watch.since is None or self.watch.since < node.started:
+            self.watch.restart(node.started)
+
+    def _update_routes(self, config: dict) -> RoutingTable:
+        """Returns the routes of a configuration; builds them anew only for a new revision."""
+        if self.routes is None or self.routes.stamp != config["Revision"]:
+            self.routes = RoutingTable(config)
+        return self.routes
+
+    async def _declare(self, advice: list[Advice], known_zones: dict) -> None:
+        """Runs the commands of one look.
+
+        Each command on a region names the epoch that it is based on, so that a change by anyone else in the meantime
+        refuses it. Of several on one region, each is based on the epoch that the one before it made.
+        """
+        zones = self._node.settings.zones
+        if any(zone not in known_zones for zone in zones):
+            advice.append(Advice("policy.zones", {"zones": zones}))
+        epochs: dict[str | None, int | None] = {}
+        for command, args in advice:
+            region = args.get("region")
+            epoch = epochs.get(region, args.get("epoch"))
+            epochs[region] = await self._run_command(command, {**args, "epoch": epoch})
+
+    async def _run_command(self, command: str, args: dict) -> int | None:
+        """Runs a command; returns the epoch of its region after it."""
+        code, document = await self._node.try_command(self._shard, command, args)
+        if code != DONE or "region" not in args:
             return args["epoch"]
-        self.core.log.info("{}: {} for {}: {}", name, args["region"], args["rule"], args["reason"])
-        return doc["Epoch"]
+        epoch = document["Epoch"]
+        self._node.log.info(
+            "region declared: command={} region={} rule={} epoch={} reason={}",
+            command,
+            args["region"],
+            args["rule"],
+            epoch,
+            args["reason"],
+        )
+        return epoch
 
-    def _services(self) -> dict:
-        out: dict = {}
-        for route in self.plan.routes():
-            rule = self.places.rule(route)
+    def _services_by_rule(self, routes: RoutingTable) -> dict[str, set[str]]:
+        """Returns the services of the routes that each rule binds, by the rule's name."""
+        services: dict[str, set[str]] = {}
+        for route in routes.routes():
+            rule = self.placement.rule(route)
             if rule is not None:
-                out.setdefault(rule.name, set()).update(s for s, _ in route.split)
-        return out
-
-    def _heard(self) -> dict:
-        """When each service was last heard in each region: beats of replicas that take requests, and answers."""
-        out: dict = {}
-        registry, region_of = self.core.registry, self.places.region_of
-        for rid, entry in registry.replicas.items():
+                services.setdefault(rule.name, set()).update(service for service, _ in route.split)
+        return services
+
+    def _last_heard(self) -> dict[tuple, float]:
+        """Returns when each service was last heard in each region, by (service, region).
+
+        Heartbeats of replicas that take requests count, and answers that any node had: a replica that cannot reach
+        the control nodes, yet answers, is no reason to leave its region.
+        """
+        last_heard: dict[tuple, float] = {}
+        registry = self._node.registry
+        region_of = self.placement.region_of
+        for replica_id, entry in registry.replicas.items():
             if entry["state"] == "up":
                 key = (entry["service"], region_of.get(entry["zone"]))
-                out[key] = max(registry.last_heard[rid], out.get(key, float("-inf")))
-        for (svc, zone), at in self.served.items():
-            key = (svc, region_of.get(zone))
-            out[key] = max(at, out.get(key, float("-inf")))
-        return out
+                last_heard[key] = max(registry.last_heard[replica_id], last_heard.get(key, NEVER))
+        for (service, zone), at in self.answered_at.items():
+            key = (service, region_of.get(zone))
+            last_heard[key] = max(at, last_heard.get(key, NEVER))
+        return last_heard
--- a/archhatch/share_group/recalls.py
+++ b/archhatch/share_group/recalls.py
@@ -97,13 +97,13 @@
         """Whether an entry runs in a zone that its route leaves."""
         if entry.engine is None or entry.is_acknowledging:
             return False
-        return self.host.placement.leaves(route, entry.engine.zone)
+        return self.host.placement.is_leaving(route, entry.engine.zone)
 
     def _forget_left_homes(self, queue: JobQueue, route: Route) -> None:
         """Lets groups move whose home stands in a zone that their route leaves."""
         for group, engine_id in list(queue.homes.items()):
             engine = self.host.engines.all.get(engine_id)
-            if engine is not None and self.host.placement.leaves(route, engine.zone):
+            if engine is not None and self.host.placement.is_leaving(route, engine.zone):
                 queue.forget_home(group)
 
 
--- a/archhatch/singleton_roles/client.py
+++ b/archhatch/singleton_roles/client.py
@@ -6,7 +6,7 @@
 import sys
 from urllib.parse import quote
 
-from ..region_policy.client import ControlPlane, PolicyClientError
+from ..region_policy.control_plane import CommandFailedError, ControlPlane
 from ..runtime import SettingsError, read_settings
 
 USE = """archhatch: duties: say one of
@@ -33,7 +33,7 @@
             return 2
         try:
             asyncio.run(command(*args[1:]))
-        except (SettingsError, PolicyClientError) as e:
+        except (SettingsError, CommandFailedError) as e:
             print(f"archhatch: {e}", file=sys.stderr)
             return 1
         return 0
@@ -42,7 +42,7 @@
         async with ControlPlane(read_settings(self.options.settings)) as control:
             status, answer = await control.call(method, f"/api/duties{path}")
         if status != 200:
-            raise PolicyClientError(f"code {answer.get('Error')} {answer.get('Says')}: {answer.get('Why')}")
+            raise CommandFailedError(f"code {answer.get('Error')} {answer.get('Says')}: {answer.get('Why')}")
         return answer
 
     async def _list(self) -> None:
--- a/archhatch/store/join.py
+++ b/archhatch/store/join.py
@@ -87,7 +87,7 @@
 
     def _apply_config(self, register: dict) -> None:
         store = self.store
-        if store.placement.fold(register):
+        if store.placement.update(register):
             store.log.info("placement policy changed, policy={}", store.placement)
         plan = register.get("plan")
         if plan is not None and (store.plan is None or plan["Revision"] > store.plan.stamp):
--- a/tests/evacuation/test_commands.py
+++ b/tests/evacuation/test_commands.py
@@ -261,11 +261,11 @@
     if out:
         value["regions"] = {out: {"epoch": 1, "out": {"*": {}}}}
     placement = Placement()
-    placement.fold(feed_view("plan", value))
+    placement.update(feed_view("plan", value))
     assert (
         placement.order(Route) == order and placement.zones(Route) == {"a": {"z1"}, "b": {"z2"}, "c": {"z3"}}[order[0]]
     )
-    leaves = {zone for zone in ("z1", "z2", "z3") if placement.leaves(Route, zone)}
+    leaves = {zone for zone in ("z1", "z2", "z3") if placement.is_leaving(Route, zone)}
     assert leaves == {("moving", "target"): {"z1"}, ("returning", "origin"): {"z2"}}.get((state, placed), set())
 
 
--- a/tests/region_policy/test_region_policy.py
+++ b/tests/region_policy/test_region_policy.py
@@ -11,7 +11,7 @@
 from archhatch.region_policy import Placement
 from archhatch.region_policy.explain import explain
 from archhatch.region_policy.errors import PolicyError
-from archhatch.region_policy.patterns import fits, meet
+from archhatch.region_policy.patterns import matches, overlap
 from archhatch.region_policy.reader import read_policy
 from archhatch.control.api_requests import InvalidRequestError, PolicyRequest, decode
 from archhatch.control.registers import commands, feed_view
@@ -57,14 +57,14 @@
         ("a*b", "b*a", False),
     ],
 )
-def test_patterns_that_meet(a, b, both):
-    assert meet(a, b) is both and meet(b, a) is both
+def test_overlapping_patterns(a, b, both):
+    assert overlap(a, b) is both and overlap(b, a) is both
     if "*" not in b and "?" not in b:
-        assert fits(a, b) is both
+        assert matches(a, b) is both
 
 
 def test_good_policy():
-    doc = read_policy(GOOD, known=set(ZONES.values()))
+    doc = read_policy(GOOD, known_regions=set(ZONES.values()))
     assert doc["version"] == 1 and [r["name"] for r in doc["rules"]] == ["quotes", "rollouts"]
     assert [r["regions"] for r in doc["rules"]] == [["attica", "thessaly"]] * 2
     assert [r["hysteresis_s"] for r in doc["rules"]] == [4, 4]
@@ -161,7 +161,7 @@
         "circle",
     ),
     "same class": ("version = 1\n" + RULE + RULE.replace('"a"', '"b"'), 8, "rule 2: class", "overlaps with rule a"),
-    "patterns that meet": (
+    "patterns that overlap": (
         'version = 1\n[[rule]]\nname = "a"\nroutes = ["yard-*"]\nhome = "attica"\n[[rule]]\n'
         'name = "b"\nroutes = ["x", "*-quote"]\nhome = "crete"\n',
         8,
@@ -195,7 +195,7 @@
 def test_faults_name_file_line_and_field(what):
     text, line, field, word = BAD[what]
     with pytest.raises(PolicyError) as e:
-        read_policy(text, "p.toml", known=set(ZONES.values()))
+        read_policy(text, "p.toml", known_regions=set(ZONES.values()))
     hits = [f for f in e.value.faults if f.startswith(f"p.toml:{line}: {field}: ")]
     assert hits and any(word in f for f in hits), e.value.faults
     assert all("\n" not in f for f in e.value.faults)
@@ -306,7 +306,7 @@
         (back, [out, back, out], 1, 2011),
     ],
 )
-def test_a_word_on_an_old_epoch_counts_for_nothing(cmd, before, epoch, code):
+def test_a_command_on_an_old_epoch_is_refused(cmd, before, epoch, code):
     value = {}
     put(value)
     for b in before:
@@ -334,7 +334,7 @@
     assert value["regions"]["attica"]["flaps"]["quotes"] == 1
 
 
-def test_operators_word_stands_against_the_watch_and_ends_its_findings():
+def test_an_operators_order_outlasts_the_watch_and_ends_its_findings():
     value = {}
     put(value)
     out(value, rule="*")
@@ -375,7 +375,7 @@
     for region, rule in facts.items():
         out(value, region, rule)
     p = Placement()
-    p.fold(feed_view("plan", value))
+    p.update(feed_view("plan", value))
     return p
 
 
@@ -455,9 +455,9 @@
 def test_off_without_a_policy_and_after_it_is_withdrawn():
     p = placement()
     assert not p.allows(route(), "z3")
-    p.fold({"plan": {}})
+    p.update({"plan": {}})
     assert p.policy is None and p.allows(route(), "z3") and p.zones(route()) is None
-    p.fold(None)
+    p.update(None)
     assert p.allows(route(), "z3")
 
 
@@ -495,7 +495,7 @@
     put(value, text)
     for region in facts or ():
         out(value, region, "*")
-    p.placement.fold(feed_view("plan", value))
+    p.placement.update(feed_view("plan", value))
     return p
 
 
@@ -523,7 +523,7 @@
 
 def test_picks_without_a_policy_are_what_they_were():
     p = load_balancer(text="version = 1\nrule = []\n")
-    p.placement.fold({})
+    p.placement.update({})
     for t in p.all.values():
         t.under_way = 0 if t.zone == "z3" else 3
     assert p.pick("s", set(), 0.0, route()) is p.pick("s", set(), 0.0) and p.pick("s", set(), 0.0).zone == "z3"
--- a/tests/region_policy/test_watch.py
+++ b/tests/region_policy/test_watch.py
@@ -1,17 +1,10 @@
 """Which regions are declared out and back: tables of what was heard when, and what follows; the clock moved by hand."""
 
-from types import SimpleNamespace
-
 import pytest
-from tests.support.fakes import HandClock
 
 from archhatch.region_policy import Policy
-from archhatch.region_policy.region_monitor import RegionMonitor
 from archhatch.region_policy.commands import commands
 from archhatch.region_policy.watch import RegionWatch
-from archhatch.membership import ReplicaRegistry
-from archhatch.runtime import StateBoard, Counters
-from archhatch.runtime.settings import check_settings
 
 QUIET, RETURN = 3.0, 12.0
 TEXT = """version = 1
@@ -144,162 +137,8 @@
     play = Play()
     play.run(10, "a b c")
     play.now += 60  # it stood still, or was cut off
-    play.watch.begin(play.now)
+    play.watch.restart(play.now)
     assert play.run(2.5, "b c") == [] and play.run(1, "b c") == [("out", "a", 73.0)]
     play.run(6, "a b c")
-    play.watch.begin(play.now)
+    play.watch.restart(play.now)
     assert play.run(11, "a b c") == [("out", "a", 73.0)] and play.run(2, "a b c")[-1] == ("back", "a", 91.75)
-
-
-# -- the duty of a control node
-
-BOOT = check_settings(
-    {"NodeName": "n", "IpAddress": "1.1.1.1", "InternalPorts": [7, 9], "Zones": ZONES, "KeepaliveMs": 1000}
-)
-PLAN = {
-    "Revision": 1,
-    "ServiceTable": [{"Name": "q"}],
-    "RouteTable": [{"Name": "r", "HostName": "h", "PathPrefix": "/", "RouteClass": "idempotent", "Service": "q"}],
-}
-
-
-class Node(SimpleNamespace):
-    """What the duty asks of a control node."""
-
-    def __init__(self, zones=ZONES):
-        play = Play()
-        play.value["policy"]["zones"] = dict(zones)
-        super().__init__(
-            settings=BOOT,
-            clock=HandClock(),
-            registry=ReplicaRegistry(),
-            state_board=StateBoard(),
-            counters=Counters(),
-            quiet_s=0.75,
-            started=0.0,
-            heartbeat_interval_s=0.2,
-            touch=True,
-            owner=True,
-            done=[],
-            value={**play.value, "plan": PLAN},
-            seq=0,
-            log=SimpleNamespace(info=lambda *a: None),
-        )
-        self.duty = RegionMonitor(self, "plan")
-
-    def has_majority_contact(self):
-        return self.touch
-
-    def owns(self, shard):
-        return self.owner
-
-    async def try_command(self, shard, name, args):
-        self.done.append((name, args.get("region")))
-        return commands.run(self.value, name, args)[:2]
-
-    async def live(self, timeout_s, zones, state="up", words=()):
-        end = self.clock.at + timeout_s
-        while self.clock.at < end:
-            self.clock.at += 0.25
-            for z in zones:
-                self.seq += 1
-                self.registry.record_heartbeat(
-                    {"id": z, "service": "q", "zone": z, "state": state, "seq": self.seq}, self.clock.at
-                )
-            self.duty.heed([["q", z, 0.0] for z in words])
-            await self.duty.tend(self.value)
-        return self.done
-
-
-@pytest.mark.parametrize(
-    "change, zones, words, done",
-    [
-        ({}, ["zb", "zc"], [], [("region.out", "a")]),
-        ({"owner": False}, ["zb", "zc"], [], []),
-        ({"touch": False}, ["zb", "zc"], [], []),
-        ({}, ["za", "zb", "zc"], [], []),
-        ({}, ["zb", "zc"], ["za"], []),  # it does not beat, yet it answers nodes
-        ({}, ["zb", "zc", "zd"], [], [("region.out", "a")]),
-        ({}, [], [], []),
-    ],
-)
-def test_who_declares_what(run, change, zones, words, done):
-    async def go():
-        node = Node()
-        await node.live(5, ["za", "zb", "zc"])
-        for k, v in change.items():
-            setattr(node, k, v)
-        assert await node.live(4, zones, words=words) == done
-
-    run(go())
-
-
-def test_all_rules_of_a_region_move_in_one_look(run):
-    async def go():
-        node = Node()
-        text = TEXT.format(
-            more='[[rule]]\nname = "more"\nroutes = ["r"]\nlike = "quotes"\n[[rule]]\nname = "last"\n'
-            'host = "h"\nlike = "quotes"'
-        ).replace("version = 1", "version = 2")
-        assert commands.run(node.value, "policy.put", {"text": text, "match": 1, "zones": ZONES})[0] == 1000
-        node.value["plan"] = {
-            **PLAN,
-            "RouteTable": PLAN["RouteTable"]
-            + [
-                {**PLAN["RouteTable"][0], "Name": "x", "PathPrefix": "/x/"},
-                {**PLAN["RouteTable"][0], "Name": "y", "HostName": "i"},
-            ],
-        }
-        await node.live(5, ["za", "zb", "zc"])
-        await node.live(4, ["zb", "zc"])
-        assert node.done == [("region.out", "a")] * 3 and node.value["regions"]["a"]["epoch"] == 3
-        assert set(node.value["regions"]["a"]["out"]) == {"quotes", "more", "last"}
-
-    run(go())
-
-
-def test_replicas_that_leave_do_not_count_as_life(run):
-    async def go():
-        node = Node()
-        await node.live(5, ["za", "zb", "zc"])
-        await node.live(1, ["za"], "draining")
-        assert await node.live(4, ["zb", "zc"]) == [("region.out", "a")]
-
-    run(go())
-
-
-def test_a_node_that_was_cut_off_or_stood_still_first_listens(run):
-    async def go():
-        node = Node()
-        await node.live(5, ["za", "zb", "zc"])
-        node.touch = False
-        await node.live(20, [])
-        node.touch = True
-        assert await node.live(2, ["zb", "zc"]) == []
-        await node.live(2, ["za", "zb", "zc"])
-        node.clock.at += 30  # frozen between two looks
-        assert await node.live(2, ["zb", "zc"]) == []
-        await node.live(2, ["za", "zb", "zc"])
-        node.started = node.clock.at  # another loop saw that it stood still
-        assert await node.live(2.75, ["zb", "zc"]) == [] and await node.live(1, ["zb", "zc"]) == [("region.out", "a")]
-
-    run(go())
-
-
-def test_zones_that_came_later_become_known(run):
-    async def go():
-        node = Node({"za": "a", "zb": "b"})
-        assert await node.live(0.5, ["za", "zb"]) == [("policy.zones", None)] and node.value["policy"]["zones"] == ZONES
-
-    run(go())
-
-
-def test_words_of_answers_age_and_fade():
-    node = Node()
-    node.duty.heed([["q", "za", 1.0], ["q", "zb", 9.0]])
-    assert node.duty.words() == [["q", "za", 1.0]]
-    node.duty.heed([["q", "za", 2.0]])  # an older word does not undo a newer one
-    node.clock.at += 1
-    assert node.duty.words() == [["q", "za", 2.0]]
-    node.clock.at += 5
-    assert node.duty.words() == [] and node.duty.served == {}
