--- a/tests/control/test_feed.py
+++ b/tests/control/test_feed.py
@@ -91,7 +91,7 @@
             agreed_time=agreed_time,
             clock=HandClock(), registers=registers, live=live, peers=peers, cores=cores, state_board=StateBoard(),
             quiet_s=1.0,
-            regions=types.SimpleNamespace(heed=lambda words: None), leaving=False, check_serving=lambda: True,
+            regions=types.SimpleNamespace(record_answers=lambda words: None), leaving=False, check_serving=lambda: True,
             incarnation="L",
             id="core", address="10.0.0.1:7380", counters=Counters(), available=lambda i: True,
             registry=types.SimpleNamespace(version=0, changes_since=lambda turn: []),
