--- a/archhatch/control/api_requests.py
+++ b/archhatch/control/api_requests.py
@@ -20,7 +20,7 @@
 DEFAULT_SLOTS = 1  # slots of a replica whose heartbeat names none
 FIRST_MODEL_REVISION = 1  # of a model whose heartbeat names none
 REPLICA_STATES = ("up", "draining")
-ANY_RULE = "*"  # in place of a rule's name: the operator's word holds for every rule
+ANY_RULE = "*"  # in place of a rule's name: an operator's order holds for every rule
 
 
 class InvalidRequestError(ArchhatchError):
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -337,12 +337,10 @@
     def __init__(self, node, far):
         self.real, self.far, self.node = node.connections.to, far, node
         node.connections.to = self.to
-        for (
-            address,
-            line,
-        ) in node.connections._all.items():  # what is under way is lost too: a held question for news, say
+        # what is under way is lost too: a held question to the feed, say
+        for address, connection in node.connections._connections.items():
             if far(address.rsplit(":", 1)[0]):
-                line.disconnect()
+                connection.disconnect()
 
     def to(self, address):
         return self if self.far(address.rsplit(":", 1)[0]) else self.real(address)
