--- a/archhatch/diagnostics/__init__.py
+++ b/archhatch/diagnostics/__init__.py
@@ -1,9 +1,11 @@
-"""The test desk: looks for common faults of a settings file and of the nodes that it names."""
+"""Diagnostics: the doctor, which looks for common faults of a deployment, and the import of nginx configurations."""
 
-from .doctor import Doctor, Finding, report
+from .doctor import Doctor
+from .findings import Finding, FindingCode, report
 
 __all__ = [
     "Doctor",
     "Finding",
+    "FindingCode",
     "report",
 ]
--- a/tests/diagnostics/test_doctor.py
+++ b/tests/diagnostics/test_doctor.py
@@ -56,7 +56,7 @@
         (pack_record(b"x" * 950_000), 6007),
     ],
 )
-def test_tollbooks_and_disk(run, tmp_path, data, code):
+def test_write_ahead_logs_and_disk(run, tmp_path, data, code):
     path = settings(tmp_path)
     (tmp_path / "core").write_bytes(data)
     assert codes(run, path) == [6003] + ([code] if code else [])
