--- a/archhatch/autoscaler/controller.py
+++ b/archhatch/autoscaler/controller.py
@@ -1,141 +1,191 @@
-"""Orders replicas from the platform while this store holds the duty's lease.
+"""Orders replicas from the platform while this store holds the role's lease.
 
-Each order is agreed in the ledger before it is sent, so that a successor knows the last one: it sends it again if
-nobody knows whether it was taken.
+Each order is agreed in the role register before it is sent, so that a successor knows the last one: it sends it again
+if nobody knows whether it was taken.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections import Counter
+from dataclasses import dataclass
+from typing import Any, Protocol
 
 from ..platform_client import PlatformClient
-from ..singleton_roles.commands import split_key
-from ..singleton_roles.effect import EffectFailedError, protect
-from ..singleton_roles.lease import RoleCallError, StandingLease
+from ..singleton_roles.effect import protect
+from ..singleton_roles.errors import EffectFailedError, RoleCallError
+from ..singleton_roles.keys import RoleKey
+from ..singleton_roles.lease import StandingLease
+from ..singleton_roles.node import RoleNode
 from ..singleton_roles.record import RoleState
-from .policy import ScaleLimits, ServiceScaler, spread
+from .policy import ScaleLimits, ServiceScaler, spread_over_zones
 
 DUTY = "scaling"  # the name in the settings
-NAMESPACE = "capacity"  # of the ledger, and the platform's path
-LOOK_S = 0.5  # between looks
-LIVE_SHARE = 0.6  # of a service's places that live requests may take before replicas are added
+NAMESPACE = "capacity"  # of the role register, and the platform's path
+CHECK_INTERVAL_S = 0.5  # between two checks of all services
+LIVE_SLOT_SHARE = 0.6  # of a service's slots that live requests may take before replicas are added
+
+
+class ScalingNode(RoleNode, Protocol):
+    """A store node, as the controller sees it.
+
+    Attributes:
+        task_group: Runs the orders.
+        load_balancer: Knows the replicas by service.
+    """
+
+    task_group: Any
+    load_balancer: Any
+
+
+@dataclass(frozen=True, slots=True)
+class StoredOrder:
+    """The last order for a service in a zone that the role register has.
+
+    Attributes:
+        number: The order's number.
+        record: Its stored record.
+    """
+
+    number: int
+    record: dict
+
+    @property
+    def is_running(self) -> bool:
+        """Whether it was begun and not finished."""
+        return self.record["state"] == RoleState.RUNNING.value
+
+    @property
+    def desired_count(self) -> int:
+        """The number of replicas that it asks for."""
+        return self.record["intent"]["DesiredCount"]
 
 
 class CapacityController:
-    """run() looks after every service with `Autoscale`.
+    """Looks after every service with `Autoscale`.
 
-    >>> # controller = CapacityController(store); task_group.run_forever("capacity", controller.run)
+    Attributes:
+        lease: The lease under which orders are given.
+        platform: Calls the platform; None until the node has started, and without the platform's interface.
     """
 
-    def __init__(self, store, platform: PlatformClient | None = None):
-        self.store = store
-        self.lease = StandingLease(store, NAMESPACE)
+    def __init__(self, node: ScalingNode, platform: PlatformClient | None = None) -> None:
+        self.lease = StandingLease(node, NAMESPACE)
         self.platform = platform
+        self._node = node
         self._scalers: dict[str, ServiceScaler] = {}
-        self._sending: dict[str, asyncio.Task] = {}
+        self._ordering: dict[str, asyncio.Task] = {}  # by service and zone
 
     @property
     def enabled(self) -> bool:
         """Whether the platform takes orders of replicas here."""
-        platform_api = self.store.settings.platform_api
+        platform_api = self._node.settings.platform_api
         return platform_api is not None and DUTY in platform_api.duties
 
     async def run(self) -> None:
-        """Look at all services again and again."""
+        """Checks all services again and again, for good; ends at once if orders are not enabled."""
         if not self.enabled:
             return
         while True:
-            await asyncio.sleep(LOOK_S)
-            if self.lease.may_act() and self.store.plan is not None:
-                self.look()
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            if self.lease.may_act() and self._node.plan is not None:
+                self.check_services()
             else:
-                self._scalers.clear()
-
-    def look(self) -> None:
-        """Finish orders that were begun, and give those that are due."""
-        duties = self.store.ledger.duties(NAMESPACE)
-        latest = latest_orders(duties)
-        for subject, (number, duty) in latest.items():
-            if duty["state"] == RoleState.RUNNING.value:
-                self._start(subject, number, duty["intent"])
-        for name, service in self.store.plan.services.items():
+                self._scalers.clear()  # what was seen before the lease was lost says nothing after it
+
+    def check_services(self) -> None:
+        """Finishes orders that were begun, and gives those that are due."""
+        latest = latest_orders(self._node.ledger.roles(NAMESPACE))
+        for subject, order in latest.items():
+            if order.is_running:
+                self._start_order(subject, order.number, order.record["intent"])
+        for name, service in self._node.plan.services.items():
             limits = ScaleLimits.read(service)
             if limits is not None:
-                self._look_at(name, limits, latest)
+                self._check_service(name, limits, latest)
 
-    def _look_at(self, service: str, limits: ScaleLimits, latest: dict) -> None:
-        there = self._there(service)
-        ordered = {zone: self._ordered(latest, service, zone) for zone in there}
-        counts = {zone: count if ordered[zone] is None else ordered[zone] for zone, count in there.items()}
+    def _check_service(self, service: str, limits: ScaleLimits, latest: dict[str, StoredOrder]) -> None:
+        counts = self._ordered_counts(service, latest)
         if not counts:
             return
-        now, scaler = self.store.clock.now(), self._scalers.setdefault(service, ServiceScaler())
+        now = self._node.clock.now()
+        scaler = self._scalers.setdefault(service, ServiceScaler())
         total = sum(counts.values())
-        wanted = scaler.want(now, total, self._pressure(service), limits)
-        if wanted == total:
+        desired = scaler.desired_count(now, total, self._pressure(service), limits)
+        if desired == total:
             return
-        for zone, count in spread(wanted, list(counts), limits).items():
+        for zone, count in spread_over_zones(desired, list(counts), limits).items():
             if count == counts[zone]:
                 continue
             scaler.changed_at = now
             subject = f"{service}~{zone}"
-            number = latest[subject][0] + 1 if subject in latest else 1
-            self._start(subject, number, {"Service": service, "Zone": zone, "DesiredCount": count})
+            number = latest[subject].number + 1 if subject in latest else 1
+            self._start_order(subject, number, {"Service": service, "Zone": zone, "DesiredCount": count})
+
+    def _ordered_counts(self, service: str, latest: dict[str, StoredOrder]) -> dict[str, int]:
+        """The replicas by zone as last ordered; where none were ordered, those that are there."""
+        counts = {}
+        for zone, present in self._present_counts(service).items():
+            order = latest.get(f"{service}~{zone}")
+            counts[zone] = present if order is None else order.desired_count
+        return counts
 
-    def _there(self, service: str) -> dict:
-        """Replicas by zone that stay, as far as the registry knows."""
-        replicas = (self.store.load_balancer.by_service.get(service) or {}).values()
-        return dict(Counter(replica.zone for replica in replicas if not replica.draining))
+    def _present_counts(self, service: str) -> dict[str, int]:
+        """The replicas by zone that stay, as far as the registry knows."""
+        return dict(Counter(replica.zone for replica in self._staying_replicas(service)))
 
-    def _ordered(self, latest: dict, service: str, zone: str) -> int | None:
-        order = latest.get(f"{service}~{zone}")
-        return None if order is None else order[1]["intent"]["DesiredCount"]
+    def _staying_replicas(self, service: str) -> list:
+        replicas = (self._node.load_balancer.by_service.get(service) or {}).values()
+        return [replica for replica in replicas if not replica.draining]
 
     def _pressure(self, service: str) -> float:
-        """The share of its places that a service needs, for its lots and for its live requests."""
-        replicas = [r for r in (self.store.load_balancer.by_service.get(service) or {}).values() if not r.draining]
-        places = sum(replica.slots for replica in replicas)
-        if not places:
+        """The share of its slots that a service needs, for its batch jobs and for its live requests."""
+        slots = sum(replica.slots for replica in self._staying_replicas(service))
+        if not slots:
             return 0.0
-        batch_jobs = self.store.membership.places_wanted(service)
-        live = self.store.config_watcher.live_totals.get(service, 0) / LIVE_SHARE
-        return (batch_jobs + live) / places
+        batch_slots = self._node.membership.places_wanted(service)
+        live_slots = self._node.config_watcher.live_totals.get(service, 0) / LIVE_SLOT_SHARE
+        return (batch_slots + live_slots) / slots
 
     # -- orders
 
-    def _start(self, subject: str, number: int, order: dict) -> None:
-        task = self._sending.get(subject)
+    def _start_order(self, subject: str, number: int, order: dict) -> None:
+        task = self._ordering.get(subject)
         if task is None or task.done():
-            self._sending[subject] = self.store.task_group.spawn("capacity", self._order, subject, number, order)
+            self._ordering[subject] = self._node.task_group.spawn("capacity", self._order, subject, number, order)
 
     async def _order(self, subject: str, number: int, order: dict) -> None:
         try:
             await protect(self.lease, f"{NAMESPACE}/{subject}:{number}", order, self._send, self._observe)
-        except RoleCallError as e:
-            self.store.counters.add(f"capacity.put_off.{e.code}")
-        except EffectFailedError as e:
-            self.store.log.error("capacity: {}: {}", order, e)
+        except RoleCallError as error:
+            # the lease passed on, or no majority answered: this store or its successor goes on at the next check
+            self._node.counters.add(f"capacity.deferred.{error.code}")
+        except EffectFailedError as error:
+            # a refusal by the platform: a traceback would not explain it
+            self._node.log.error("capacity: order failed for good, order={} reason={!r}", order, str(error))  # noqa: TRY400 - see above
 
     async def _observe(self, order: dict) -> str | None:
-        """Whether an order whose holder fell silent has been carried out: so many replicas are there."""
-        found = self._there(order["Service"]).get(order["Zone"]) == order["DesiredCount"]
-        return "observed" if found else None
+        """Whether an order whose lease expired has been carried out: so many replicas are there."""
+        is_carried_out = self._present_counts(order["Service"]).get(order["Zone"]) == order["DesiredCount"]
+        return "observed" if is_carried_out else None
 
     async def _send(self, order: dict) -> str:
-        self.store.log.info("capacity: {}", order)
+        assert self.platform is not None, "the node sets it at its start wherever orders are enabled"
+        self._node.log.info("capacity: replicas ordered, order={}", order)
         return await self.platform.deliver(f"/{NAMESPACE}", order, self.lease)
 
 
-def latest_orders(duties: dict) -> dict:
-    """By service and zone, the number and the record of the last order that the ledger has.
+def latest_orders(roles: dict[str, dict]) -> dict[str, StoredOrder]:
+    """Returns the last order that the role register has, by service and zone.
 
-    >>> latest_orders({"capacity/s~z:1": {"n": 1}, "capacity/s~z:2": {"n": 2}, "capacity": {}})
-    {'s~z': (2, {'n': 2})}
+    >>> roles = {"capacity/s~z:1": {"n": 1}, "capacity/s~z:2": {"n": 2}, "capacity": {}}
+    >>> latest_orders(roles)
+    {'s~z': StoredOrder(number=2, record={'n': 2})}
     """
-    latest: dict = {}
-    for key, duty in duties.items():
-        _, subject, number = split_key(key)
-        if subject and number > latest.get(subject, (0, None))[0]:
-            latest[subject] = (number, duty)
+    latest: dict[str, StoredOrder] = {}
+    for key, record in roles.items():
+        parsed = RoleKey.parse(key)
+        newest = latest.get(parsed.kind)
+        if parsed.kind and parsed.number > (newest.number if newest else 0):
+            latest[parsed.kind] = StoredOrder(parsed.number, record)
     return latest
--- a/archhatch/data_plane/edge.py
+++ b/archhatch/data_plane/edge.py
@@ -107,7 +107,7 @@
         await self.window.close(self.settings.seconds("GraceS", 0.5))
         await self.door.close(0.0)
         if self.usage is not None:
-            await self.usage.tell()
+            await self.usage.send()
         await self.task_group.cancel_all()
         await self.upstream_client.close()
         self.connections.end()
--- a/archhatch/data_plane/forward.py
+++ b/archhatch/data_plane/forward.py
@@ -197,7 +197,7 @@
         if self.counted or self.tenant is None or self.fwd.usage is None or answer.ran is not Ran.YES:
             return
         self.counted = True
-        self.fwd.usage.began(self.tenant, send.at)
+        self.fwd.usage.record_request(self.tenant, send.at)
 
     def client_left(self) -> None:
         """The client closed its connection: nothing new is sent. What may be repeated is broken off, as nobody waits
--- a/archhatch/data_plane/relay.py
+++ b/archhatch/data_plane/relay.py
@@ -186,7 +186,7 @@
         """Count the request for its tenant's usage, at its first event."""
         if not self.counted and self.tenant is not None and self.relay.usage is not None:
             self.counted = True
-            self.relay.usage.began(self.tenant, self.relay.clock.now())
+            self.relay.usage.record_request(self.tenant, self.relay.clock.now())
 
     def _is_to_move(self, line) -> bool:
         """Whether a planned move takes the stream away from its replica, and it can go on at another."""
--- a/archhatch/platform_client/__init__.py
+++ b/archhatch/platform_client/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's interface: calls that are the duty of one node at a time."""
+"""The platform's interface: calls that one node at a time may make, under a singleton role's lease."""
 
 from .client import CallResult, PlatformClient
 
--- a/archhatch/singleton_roles/__init__.py
+++ b/archhatch/singleton_roles/__init__.py
@@ -1,1 +1,1 @@
-"""The duty ledger: leases with fences, and effects that are done once, in registers on the stores."""
+"""Singleton roles: leases with fencing tokens, and effects that are done once, kept in registers on the stores."""
--- a/archhatch/singleton_roles/admin.py
+++ b/archhatch/singleton_roles/admin.py
@@ -1,65 +1,112 @@
-"""The control nodes' side of the duty ledger: lists, shows and resets duties by asking the stores that hold them."""
+"""The control nodes' side of singleton roles: lists, shows and resets them by asking the stores that hold them."""
 
 from __future__ import annotations
 
-from ..runtime import error_result, json_result
-from .commands import split_key
+from typing import Any, Protocol
 
-DONE, UNREACHED, UNKNOWN = 1000, 3003, 2304
+from ..runtime import Result, error_result, json_result
+from .errors import UnknownRoleError
+from .keys import RoleKey
+from .messages import RoleReset
+from .record import SingletonRole
 
+DONE = 1000
+UNREACHED = 3003  # no store of the group gave a clear answer
 
-class SingletonRoleAdmin:
-    """Answers the administration API's calls on duties.
 
-    >>> # result = await SingletonRoleAdmin(node, "plan").answer("duty.list", "")
+class AdminNode(Protocol):
+    """What the calls on roles use of a control node.
+
+    Attributes:
+        settings: The node's settings.
+        registers: The control plane's registers, as far as the node knows them.
     """
 
-    def __init__(self, node, shard: str):
-        self.node, self.shard = node, shard
+    settings: Any
+    registers: Any
+
+    async def call(self, address: str, verb: str, document: dict, /) -> dict | None:
+        """Calls a store; None if it gave no answer."""
+
 
-    def _groups(self) -> dict:
-        state = self.node.registers.known.get(self.shard)
+class SingletonRoleAdmin:
+    """Answers the administration API's calls on singleton roles."""
+
+    def __init__(self, node: AdminNode, shard: str) -> None:
+        self._node = node
+        self._shard = shard  # the register of the control plane that has the roles' groups
+
+    def _groups(self) -> dict[str, dict]:
+        state = self._node.registers.known.get(self._shard)
         return state["val"].get("ledger", {}) if state else {}
 
-    async def answer(self, name: str, key: str):
-        """Run one call: `duty.list` (all duties, or the one of a key) or `duty.reset`."""
-        if name == "duty.reset":
-            code, doc = await self._run(name, key, {"key": key, "node": self.node.settings.node_name})
-            return json_result(DONE, {"OperState": "IDLE"}) if code == DONE else error_result(code, str(doc))
-        duties: dict = {}
-        for namespace in [split_key(key)[0]] if key else sorted(self._groups()):
-            code, doc = await self._run("duty.list", namespace, {"key": namespace})
+    async def answer(self, name: str, key: str) -> Result:
+        """Answers one call.
+
+        Args:
+            name: `duty.list` or `duty.reset`.
+            key: The role's key; empty to list all roles.
+
+        Returns:
+            The result for the caller.
+        """
+        return await (self._reset(key) if name == "duty.reset" else self._list(key))
+
+    async def _reset(self, key: str) -> Result:
+        reset = RoleReset(key, self._node.settings.node_name)
+        code, details = await self._run("duty.reset", key, reset.to_document())
+        if code != DONE:
+            return error_result(code, str(details))
+        return json_result(DONE, {"OperState": "IDLE"})
+
+    async def _list(self, key: str) -> Result:
+        roles: dict[str, dict] = {}
+        for namespace in [RoleKey.parse(key).namespace] if key else sorted(self._groups()):
+            code, document = await self._run("duty.list", namespace, {"key": namespace})
             if code != DONE:
                 return error_result(code, namespace)
-            duties.update(doc)
-        if key and key not in duties:
-            return error_result(UNKNOWN, key)
-        chosen = [key] if key else sorted(duties)
-        return json_result(DONE, {"DutyList": [view(name, duties[name]) for name in chosen]})
-
-    async def _run(self, name: str, key: str, args: dict) -> tuple[int, object]:
-        group = self._groups().get(split_key(key)[0])
+            roles.update(document)
+        if key and key not in roles:
+            return error_result(UnknownRoleError.code, key)
+        chosen = [key] if key else sorted(roles)
+        return json_result(DONE, {"DutyList": [role_view(name, roles[name]) for name in chosen]})
+
+    async def _run(self, name: str, key: str, args: dict) -> tuple[int, Any]:
+        """Runs a command at the first store of the group that gives a clear answer."""
+        group = self._groups().get(RoleKey.parse(key).namespace)
         if group is None:
-            return UNKNOWN, key
+            return UnknownRoleError.code, key
         for address in group["voters"].values():
-            out = await self.node.call(address, "ledger.run", {"name": name, "args": args, "route": True})
-            if out is not None and out["code"] != UNREACHED:
-                return out["code"], out["doc"]
+            answer = await self._node.call(address, "ledger.run", {"name": name, "args": args, "route": True})
+            if answer is not None and answer["code"] != UNREACHED:
+                return answer["code"], answer["doc"]
         return UNREACHED, None
 
 
-def view(key: str, duty: dict) -> dict:
-    """A duty as operators see it; what it is about to do or did is not told, as it may hold tenants' figures.
+def role_view(key: str, document: dict) -> dict:
+    """Returns a role as operators see it.
 
-    >>> view("a", {"state": "IDLE", "fence": 1, "holder": None, "renewals": 0, "error": "", "audit": []})["OperState"]
+    Its intent and its result are left out, as they may hold tenants' figures.
+
+    >>> role_view("accounting", SingletonRole().to_document())["OperState"]
     'IDLE'
+
+    Args:
+        key: The role's key.
+        document: Its stored record.
+
+    Returns:
+        The entry of `DutyList`.
     """
+    role = SingletonRole.from_document(document)
     return {
         "Name": key,
-        "OperState": duty["state"],
-        "FenceToken": duty["fence"],
-        "Owner": duty["holder"][0] if duty["holder"] else None,
-        "Renewals": duty["renewals"],
-        "Error": duty["error"],
-        "Audit": [{"Event": event, "FenceToken": fence, "Owner": node} for event, fence, node in duty["audit"]],
+        "OperState": role.state.value,
+        "FenceToken": role.fencing_token,
+        "Owner": role.lease_holder.node if role.lease_holder else None,
+        "Renewals": role.renewals,
+        "Error": role.error,
+        "Audit": [
+            {"Event": entry.event, "FenceToken": entry.fencing_token, "Owner": entry.node} for entry in role.audit
+        ],
     }
--- a/archhatch/singleton_roles/client.py
+++ b/archhatch/singleton_roles/client.py
@@ -1,67 +1,89 @@
-"""The command line of duties: list, show and reset."""
+"""The `duties` command of the command line: lists, shows and resets singleton roles."""
 
 from __future__ import annotations
 
 import asyncio
 import sys
+from collections.abc import Callable, Coroutine
+from http import HTTPStatus
+from typing import Any, Protocol
 from urllib.parse import quote
 
 from ..region_policy.control_plane import CommandFailedError, ControlPlane
 from ..runtime import SettingsError, read_settings
 
-USE = """archhatch: duties: say one of
+EXIT_DONE, EXIT_FAILED, EXIT_WRONG_USAGE = 0, 1, 2
+USAGE = """archhatch: duties: say one of
   duties list          each duty's state, fence and holder
   duties show KEY      one duty with its audit trail
   duties reset KEY     allow a duty that failed to be tried again"""
 
 
-class SingletonRoleClient:
-    """Runs one command; its status: 0 done, 1 a fault, 2 wrong use.
+class CommandLineOptions(Protocol):
+    """What the command uses of the command line's options.
 
-    >>> # status = SingletonRoleClient(FLAGS).run(["list"])
+    Attributes:
+        settings: The path of the settings file.
     """
 
-    def __init__(self, options):
-        self.options = options
-        self.table = {("list", 0): self._list, ("show", 1): self._show, ("reset", 1): self._reset}
+    settings: Any
+
+
+class SingletonRoleClient:
+    """Runs one `duties` command of the command line."""
+
+    def __init__(self, options: CommandLineOptions) -> None:
+        self._options = options
+        self._commands: dict[tuple[str, int], Callable[..., Coroutine[Any, Any, None]]] = {
+            ("list", 0): self._list,
+            ("show", 1): self._show,
+            ("reset", 1): self._reset,
+        }
+
+    def run(self, args: list[str]) -> int:
+        """Runs one command and prints its output.
+
+        Args:
+            args: The command's name and its arguments.
 
-    def run(self, args: list) -> int:
-        """One command."""
-        command = self.table.get((args[0], len(args) - 1)) if args else None
+        Returns:
+            The exit status: 0 done, 1 failed, 2 wrong usage.
+        """
+        command = self._commands.get((args[0], len(args) - 1)) if args else None
         if command is None:
-            print(USE, file=sys.stderr)
-            return 2
+            print(USAGE, file=sys.stderr)
+            return EXIT_WRONG_USAGE
         try:
             asyncio.run(command(*args[1:]))
-        except (SettingsError, CommandFailedError) as e:
-            print(f"archhatch: {e}", file=sys.stderr)
-            return 1
-        return 0
+        except (SettingsError, CommandFailedError) as error:
+            print(f"archhatch: {error}", file=sys.stderr)
+            return EXIT_FAILED
+        return EXIT_DONE
 
     async def _call(self, method: str, path: str = "") -> dict:
-        async with ControlPlane(read_settings(self.options.settings)) as control:
+        async with ControlPlane(read_settings(self._options.settings)) as control:
             status, answer = await control.call(method, f"/api/duties{path}")
-        if status != 200:
+        if status != HTTPStatus.OK:
             raise CommandFailedError(f"code {answer.get('Error')} {answer.get('Says')}: {answer.get('Why')}")
         return answer
 
     async def _list(self) -> None:
-        for duty in (await self._call("GET"))["DutyList"]:
-            print(_line(duty))
+        for role in (await self._call("GET"))["DutyList"]:
+            print(_format_role(role))
 
     async def _show(self, key: str) -> None:
-        duty = (await self._call("GET", "/" + quote(key, safe="")))["DutyList"][0]
-        print(_line(duty))
-        for entry in duty["Audit"]:
+        role = (await self._call("GET", "/" + quote(key, safe="")))["DutyList"][0]
+        print(_format_role(role))
+        for entry in role["Audit"]:
             print(f"  {entry['Event']:<10} fence {entry['FenceToken']:<6} {entry['Owner']}")
-        if duty["Error"]:
-            print(f"  failed: {duty['Error']}")
+        if role["Error"]:
+            print(f"  failed: {role['Error']}")
 
     async def _reset(self, key: str) -> None:
         await self._call("POST", "/" + quote(key, safe="") + "/reset")
         print(f"{key}: may be tried again")
 
 
-def _line(duty: dict) -> str:
-    owner = duty["Owner"] or "nobody"
-    return f"{duty['Name']:<40} {duty['OperState']:<10} fence {duty['FenceToken']:<6} {owner}"
+def _format_role(role: dict) -> str:
+    owner = role["Owner"] or "nobody"
+    return f"{role['Name']:<40} {role['OperState']:<10} fence {role['FenceToken']:<6} {owner}"
--- a/archhatch/singleton_roles/watch.py
+++ b/archhatch/singleton_roles/watch.py
@@ -2,47 +2,53 @@
 
 from __future__ import annotations
 
+from collections.abc import Container
 from dataclasses import dataclass
 
-DRIFT = 0.02  # how much faster one node's steady clock may run than another's
+MAX_CLOCK_DRIFT = 0.02  # share by which one node's steady clock may run faster than another's
 
 
 @dataclass(frozen=True, slots=True)
-class _Seen:
-    fence: int
+class _SeenGrant:
+    fencing_token: int
     renewals: int
-    at: float
+    since: float  # steady clock, seconds
 
 
 class LeaseWatch:
-    """A lease counts from after its grant was seen here, and its holder counts from before it asked: so it lapses here
-    last. A node that begins to watch counts from then.
+    """Measures for how long each role's record has been in force unchanged.
 
-    >>> w = LeaseWatch(); w.note("k", 3, 0, 10.0); w.note("k", 3, 0, 12.0); w.seen_s("k", 16.0) > 5.8
+    A lease counts here from after its grant was seen, and at its lease holder from before it was asked for: so it
+    lapses here last. A node that begins to watch counts from then.
+
+    >>> watch = LeaseWatch()
+    >>> watch.record_grant("k", 3, 0, 10.0)
+    >>> watch.record_grant("k", 3, 0, 12.0)
+    >>> watch.unchanged_s("k", 16.0) > 5.8
     True
     """
 
-    def __init__(self):
-        self._seen: dict[str, _Seen] = {}
+    def __init__(self) -> None:
+        self._seen: dict[str, _SeenGrant] = {}
 
-    def note(self, key: str, fence: int, renewals: int, now: float) -> None:
-        """A record with this fence and number of renewals is in force."""
+    def record_grant(self, key: str, fencing_token: int, renewals: int, now: float) -> None:
+        """Takes note that a record with this token and number of renewals is in force."""
         before = self._seen.get(key)
-        if before is None or (before.fence, before.renewals) != (fence, renewals):
-            self._seen[key] = _Seen(fence, renewals, now)
+        if before is None or (before.fencing_token, before.renewals) != (fencing_token, renewals):
+            self._seen[key] = _SeenGrant(fencing_token, renewals, now)
 
-    def keep_only(self, keys) -> None:
-        """Forget what is no duty any more."""
+    def keep_only(self, keys: Container[str]) -> None:
+        """Forgets all keys but these."""
         self._seen = {key: seen for key, seen in self._seen.items() if key in keys}
 
-    def args(self, key: str, now: float) -> dict:
-        """What a request for a key's lease has to bring."""
+    def request_arguments(self, key: str, now: float) -> dict:
+        """Returns what the arguments of a request for a key's lease need beside those of the requester."""
         seen = self._seen.get(key)
         if seen is None:
             return {}
-        return {"seen": [seen.fence, seen.renewals], "seen_s": self.seen_s(key, now)}
+        return {"seen": [seen.fencing_token, seen.renewals], "seen_s": self.unchanged_s(key, now)}
 
-    def seen_s(self, key: str, now: float) -> float:
-        """Seconds for which a record has been seen unchanged, less what clocks may differ by."""
+    def unchanged_s(self, key: str, now: float) -> float:
+        """Seconds for which a record has been seen unchanged, less what clocks may differ by; 0 if it was not seen."""
         seen = self._seen.get(key)
-        return 0.0 if seen is None else (now - seen.at) * (1.0 - DRIFT)
+        return 0.0 if seen is None else (now - seen.since) * (1.0 - MAX_CLOCK_DRIFT)
--- a/archhatch/store/handlers.py
+++ b/archhatch/store/handlers.py
@@ -83,7 +83,7 @@
             "lot.item": self._read_item,
             "lot.end": self._end_job,
             "request.send": self.store.proxy.send,
-            "usage.tell": self.store.usage.tell,
+            "usage.tell": self.store.usage.receive_counts,
         }
         for verb, handler in verbs.items():
             handlers.on(verb)(self._addressed(handler))
--- a/archhatch/store/node.py
+++ b/archhatch/store/node.py
@@ -188,7 +188,7 @@
             "repair": self.repair.run,
             "disk": self.repair.probe_disk,
             "evacuation": self.evacuation.run,
-            "role_registers": self.ledger.care,
+            "role_registers": self.ledger.maintain_groups,
             "usage": self.usage.run,
             "capacity": self.capacity.run,
             "leader": self.leader.run,
--- a/archhatch/usage/__init__.py
+++ b/archhatch/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Usage by tenant: counted at the edges, gathered on stores, reported to the platform once for each window."""
+"""Usage by tenant: counted at the edges, collected on stores, reported to the platform once for each window."""
