--- a/archhatch/rollout_controller/leadership_term.py
+++ b/archhatch/rollout_controller/leadership_term.py
@@ -60,7 +60,8 @@
     """
 
     state: str
-    trigger: Callable[[str], bool]  # of the state machine
+    trigger: Callable[[str], bool]  # bound by the state machine, as is_holding
+    is_holding: Callable[[], bool]
 
     def __init__(self, host: LeadershipHost, run: str, term: int) -> None:
         self.host = host
@@ -130,10 +131,6 @@
             self.host.state_board.notify(("lot", job_id))
         self.host.state_board.notify("work")
 
-    def is_holding(self) -> bool:
-        """Returns whether it serves."""
-        return self.state == TermState.HOLDING
-
     # -- what others are told
 
     def record_progress(self) -> None:
