--- a/archhatch/rollout_controller/host.py
+++ b/archhatch/rollout_controller/host.py
@@ -45,10 +45,12 @@
     def confirmed(self, run: str, term: int, timeout_s: float) -> bool:
         """Returns whether enough stores said within timeout_s that they know no higher term of a run."""
 
-    async def ask_store(self, sid: str, address: str, verb: str, doc: dict) -> dict | None:
+    async def call_store(self, sid: str, address: str, verb: str, doc: dict) -> dict | None:
         """Calls a verb of a store; None if that very store does not answer."""
 
-    async def fetch(self, sid: str, address: str, job_id: str, poss: list[int], batch_job: bool) -> list[Record] | None:
+    async def fetch_records(
+        self, sid: str, address: str, job_id: str, poss: list[int], batch_job: bool
+    ) -> list[Record] | None:
         """Fetches records of a job from another store; None if it does not answer."""
 
 
@@ -64,7 +66,7 @@
 
     Attributes:
         leaderships: The leadership terms that this store holds, by run.
-        gap_s: The unit in seconds for pauses that depend on how fast replicas should answer.
+        replica_pause_s: The unit in seconds for pauses that depend on how fast replicas should answer.
     """
 
     settings: Settings
@@ -78,7 +80,7 @@
     plan: RoutingTable | None
     leaderships: dict
     leader: ReplicaDemand
-    gap_s: Callable[[], float]
+    replica_pause_s: Callable[[], float]
     named: Callable[[], dict[str, int]]
     models_of: Callable[[str], list[str]]
 
@@ -93,4 +95,4 @@
     load_balancer: LoadBalancer
     upstream_client: UpstreamClient
     plan: RoutingTable
-    gap_s: Callable[[], float]
+    replica_pause_s: Callable[[], float]
--- a/archhatch/rollout_controller/leadership_term.py
+++ b/archhatch/rollout_controller/leadership_term.py
@@ -16,7 +16,7 @@
 from ..jobs import BatchJob, DeposedError, Record, read_job
 from ..jobs.record import Kind, end_head, job_head, order_head, result_head
 from ..runtime import encode_kept
-from ..store.heartbeat import Leading
+from ..store.heartbeat import LedRunStatus
 from .host import LeadershipHost
 from .record_copier import RecordCopier
 from .repair import RecordRepair
@@ -142,10 +142,10 @@
         if self.is_confirmed():
             self.record_progress()
 
-    def heartbeat_entry(self) -> Leading:
+    def heartbeat_entry(self) -> LedRunStatus:
         """Returns what a heartbeat says of this run."""
         idle_s = self.host.clock.now() - self._progress_at
-        return Leading(self.term, idle_s, self.record_repair.dispensable_stores)
+        return LedRunStatus(self.term, idle_s, self.record_repair.dispensable_stores)
 
     # -- proof of the lease
 
--- a/archhatch/rollout_controller/replica_orders.py
+++ b/archhatch/rollout_controller/replica_orders.py
@@ -25,8 +25,8 @@
 STATUS_ACCEPTED = 202
 STATUS_HAS_IT = 200  # the replica holds the version already
 STATUS_OTHER_INSTANCE = 421  # the replica is not what it was taken for
-REPORT_LAG = 2  # of gap_s: a report may be so old
-ANSWER_TIMEOUT = 2  # of gap_s: an order or a report is answered in this time
+REPORT_LAG = 2  # of replica_pause_s: a report may be so old
+ANSWER_TIMEOUT = 2  # of replica_pause_s: an order or a report is answered in this time
 
 
 class OrderOutcome(enum.Enum):
@@ -142,7 +142,7 @@
             return OrderOutcome.REFUSED
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError):
             if not gate.has_passed:  # there was no connection to write it on
-                engine.health.record("vanished", host.clock.now(), host.gap_s() * REPORT_LAG)
+                engine.health.record("vanished", host.clock.now(), host.replica_pause_s() * REPORT_LAG)
                 return OrderOutcome.REFUSED
             return self._unresolved(engine, "order.unanswered")
         return await self._judge(engine, request, status, is_not_run)
@@ -152,7 +152,7 @@
         body = orjson.dumps(request.to_document())
         headers = [("Content-Type", "application/json")]
         async with (
-            asyncio.timeout(self.host.gap_s() * ANSWER_TIMEOUT),
+            asyncio.timeout(self.host.replica_pause_s() * ANSWER_TIMEOUT),
             self.host.upstream_client.ask(
                 engine.address, engine.instance_id, "POST", "/api/order", headers, body, 0.0, "", gate
             ) as response,
@@ -181,7 +181,7 @@
         if status not in REFUSED_STATUSES and not is_not_run:
             # 409 too: another order is under way, or the replica's count is not what it was
             return self._unresolved(engine, "order.unclear")
-        engine.paused_until = host.clock.now() + host.gap_s()
+        engine.paused_until = host.clock.now() + host.replica_pause_s()
         if status == STATUS_OTHER_INSTANCE:
             await self.resynchronize(engine)
         return OrderOutcome.REFUSED
@@ -200,7 +200,7 @@
         if engine.unresolved_order_at is None:
             return True
         self.host.counters.add("order.still_unclear")
-        engine.paused_until = self.host.clock.now() + self.host.gap_s()
+        engine.paused_until = self.host.clock.now() + self.host.replica_pause_s()
         return False
 
     async def read_report(self, engine: Engine) -> ReplicaReport | None:
@@ -214,7 +214,7 @@
         host.counters.add("report")
         try:
             async with (
-                asyncio.timeout(host.gap_s() * ANSWER_TIMEOUT),
+                asyncio.timeout(host.replica_pause_s() * ANSWER_TIMEOUT),
                 host.upstream_client.ask(
                     engine.address, engine.instance_id, "GET", "/api/report", [], b"", 0.0
                 ) as response,
@@ -246,7 +246,7 @@
         if known is not None and report.order_count > known:
             return True
         assert engine.unresolved_order_at is not None
-        return asked_at - engine.unresolved_order_at >= self.host.gap_s() * REPORT_LAG
+        return asked_at - engine.unresolved_order_at >= self.host.replica_pause_s() * REPORT_LAG
 
     async def resynchronize(self, engine: Engine) -> None:
         """Learns what an engine really holds: what it reports counts, also where it is lower than was believed."""
--- a/archhatch/rollout_controller/scoring.py
+++ b/archhatch/rollout_controller/scoring.py
@@ -13,7 +13,7 @@
 from .load_limit import LoadLimit
 
 MAX_PASSED_OVER = 64  # waiting calls that are looked at for one slot: a long queue must not stall the event loop
-RETRY_PAUSE = 0.1  # of the host's gap_s: pause before a call that may not have run is sent again
+RETRY_PAUSE = 0.1  # of the host's replica_pause_s: pause before a call that may not have run is sent again
 STATUS_FAILED = 500  # the reward service ran the call and failed: only this uses up an attempt
 POLL_INTERVAL = 0.5  # of a heartbeat: slots may come free without a notification
 TIMEOUT_TARGETS = 2  # times the route's target latency after which a call is given up, if its timeout is not shorter
@@ -63,7 +63,7 @@
                 if work.score_fails >= route.sends:
                     return None
             else:
-                await asyncio.sleep(self.host.gap_s() * RETRY_PAUSE)
+                await asyncio.sleep(self.host.replica_pause_s() * RETRY_PAUSE)
 
     async def _slot_for(self, work: Any, key: tuple) -> tuple:  # noqa: ANN401 - as in score()
         """Waits for a slot; returns the replica that has it, and the route."""
--- a/archhatch/rollout_controller/takeover.py
+++ b/archhatch/rollout_controller/takeover.py
@@ -105,7 +105,7 @@
         reports: dict[str, RunReport] = {}
         promise = {"run": self.leadership.run, "term": self.leadership.term}
         tasks = {
-            asyncio.ensure_future(host.ask_store(sid, address, "shelf.prepare", promise)): sid
+            asyncio.ensure_future(host.call_store(sid, address, "shelf.prepare", promise)): sid
             for sid, address in self._addresses.items()
         }
         waiting = set(tasks)
@@ -233,7 +233,7 @@
         lacks_end = copies.end is None and held.has_end
         if not wanted and not lacks_job and not lacks_end:
             return True
-        records = await self.host.fetch(sid, self._addresses[sid], job_id, wanted, lacks_job)
+        records = await self.host.fetch_records(sid, self._addresses[sid], job_id, wanted, lacks_job)
         if records is None:
             return False
         self.leadership.record_progress()
--- a/archhatch/rollout_controller/weight_orders.py
+++ b/archhatch/rollout_controller/weight_orders.py
@@ -17,7 +17,7 @@
 LOAD_DEADLINE = 2  # of LeaseMs: how long to wait for a load
 MIN_REPORT_PAUSE_S = 0.03  # between the reports that are read while an engine loads
 REPORT_PAUSE = 0.15  # of a load's time: the same
-LOST_AFTER = 2  # of gap_s beyond a load's time: an idle engine without the version has lost the order
+LOST_AFTER = 2  # of replica_pause_s beyond a load's time: an idle engine without the version has lost the order
 FIRST_REVISION = 1  # what every replica starts with
 
 
@@ -199,4 +199,4 @@
         if report is None or report.is_loading or engine.has_revision(model, revision):
             return False
         host = self.host
-        return host.clock.now() - began_at > self.limit.load_s + host.gap_s() * LOST_AFTER
+        return host.clock.now() - began_at > self.limit.load_s + host.replica_pause_s() * LOST_AFTER
--- a/archhatch/share_group/entry_fetcher.py
+++ b/archhatch/share_group/entry_fetcher.py
@@ -105,7 +105,7 @@
             worker_id=self.host.id,
             incarnation=self.host.incarnation,
             zone=self.host.settings.zone,
-            timer_lag_s=self.host.lag,
+            timer_lag_s=self.host.timer_lag_s,
             run=run,
             leader_epoch=leader.epoch,
             session_epoch=session.session_epoch,
--- a/archhatch/share_group/hosts.py
+++ b/archhatch/share_group/hosts.py
@@ -85,7 +85,7 @@
     def members(self) -> Mapping[str, dict]:
         """The member stores by id: "state", "addr"."""
 
-    def gap_s(self) -> float:
+    def replica_pause_s(self) -> float:
         """Seconds that a healthy replica may pause; the unit of the back-offs."""
 
 
@@ -136,7 +136,7 @@
         """The node's settings: zone, and CancelMs."""
 
     @property
-    def lag(self) -> float:
+    def timer_lag_s(self) -> float:
         """How late the node's timers fire, in seconds."""
 
     @property
--- a/archhatch/share_group/item_stream.py
+++ b/archhatch/share_group/item_stream.py
@@ -16,9 +16,9 @@
 from .hosts import WorkerHost
 from .messages import SignalKind
 
-MAX_EVENT_GAPS = 3  # in gap_s: the longest time between two events
-FIRST_EVENT_GAPS = 2  # in gap_s: what the first event may take beside that, for the prompt to be read
-VANISHED_EJECTION_GAPS = 2  # in gap_s: first ejection of a replica that vanished; one gap if it failed
+MAX_EVENT_GAPS = 3  # in replica_pause_s: the longest time between two events
+FIRST_EVENT_GAPS = 2  # in replica_pause_s: what the first event may take beside that, for the prompt to be read
+VANISHED_EJECTION_GAPS = 2  # in replica_pause_s: first ejection of a replica that vanished; one gap if it failed
 LIVE_SERVICE_URGENCY = "9"  # urgency of items at replicas that live requests use too: the lowest
 OWN_HEADERS = frozenset({"host", ECHO.lower(), EXPECT_REV.lower()})  # headers that are not the sender's to set
 INSTANCE_ID_HEADER = "X-Archhatch-Instance-Id"  # on a 421: who answers at the address
@@ -45,12 +45,12 @@
 
     async def run(self, entry: AcquiredEntry) -> None:
         """Runs an entry once; one that is whole, or failed for good, goes on to SCORING."""
-        host, gap_s = self.host, self.host.gap_s()
+        host, replica_pause_s = self.host, self.host.replica_pause_s()
         if not entry.may_send():
             return
         host.counters.add("item.send")
         try:
-            async with asyncio.timeout(gap_s * (MAX_EVENT_GAPS + FIRST_EVENT_GAPS)) as time_limit:
+            async with asyncio.timeout(replica_pause_s * (MAX_EVENT_GAPS + FIRST_EVENT_GAPS)) as time_limit:
                 async with self._ask(entry) as response:
                     if await self._is_stream(entry, response):
                         await self._read_events(entry, response, time_limit)
@@ -58,13 +58,13 @@
             host.counters.add("item.too_late")
             return
         except aiohttp.ClientConnectorError:
-            entry.signal(SignalKind.VANISHED, gap_s * VANISHED_EJECTION_GAPS)
+            entry.signal(SignalKind.VANISHED, replica_pause_s * VANISHED_EJECTION_GAPS)
             host.counters.add("item.connect_failed")
         except TimeoutError:
-            entry.signal(SignalKind.VANISHED, gap_s * VANISHED_EJECTION_GAPS)
+            entry.signal(SignalKind.VANISHED, replica_pause_s * VANISHED_EJECTION_GAPS)
             host.counters.add("item.timed_out")
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            entry.signal(SignalKind.FAULTED, gap_s)
+            entry.signal(SignalKind.FAULTED, replica_pause_s)
             host.counters.add("item.cut")
             host.log.debug(
                 "item {}: stream broken off, engine={} error={!r}",
@@ -131,14 +131,14 @@
 
     def _note_failure(self, entry: AcquiredEntry, status: int) -> None:
         """The item ran and failed; only answers of 500 count towards its attempts."""
-        gap_s = self.host.gap_s()
+        replica_pause_s = self.host.replica_pause_s()
         self.host.counters.add(f"item.{status}")
         if status == HTTP_SERVER_ERROR:
             entry.failures += 1
             if entry.failures >= entry.record.max_attempts:
                 entry.state = WorkState.SCORING
-        entry.signal(SignalKind.FAULTED, gap_s)
-        entry.backoff_s = gap_s
+        entry.signal(SignalKind.FAULTED, replica_pause_s)
+        entry.backoff_s = replica_pause_s
 
     def _note_rejection(self, entry: AcquiredEntry, response: aiohttp.ClientResponse) -> None:
         """The replica did not run the item: it is another one, has another version, or is full."""
@@ -160,12 +160,12 @@
         Raises:
             InvalidStreamError: An event came again, or the stream ended inside one.
         """
-        now, expected, gap_s = self.host.clock.now, entry.record.model_version, self.host.gap_s()
+        now, expected, replica_pause_s = self.host.clock.now, entry.record.model_version, self.host.replica_pause_s()
         loop_time = asyncio.get_running_loop().time
         current = newest_version(response.headers.get(VERSIONS, ""), expected)
         reader, began_at, count = EventReader(), now(), 0
         async for chunk in response.content.iter_any():
-            time_limit.reschedule(loop_time() + gap_s * MAX_EVENT_GAPS)
+            time_limit.reschedule(loop_time() + replica_pause_s * MAX_EVENT_GAPS)
             for event in reader.feed(chunk):
                 if not follows(entry.last_event_id, event.id):
                     raise InvalidStreamError("an event comes again")
@@ -179,7 +179,7 @@
             raise InvalidStreamError("stream ended inside an event")
         if current > expected:
             entry.signal(SignalKind.VERSION, current)
-        entry.signal(SignalKind.SERVED, gap_s)
+        entry.signal(SignalKind.SERVED, replica_pause_s)
         if count:
             entry.signal(SignalKind.PACE, (now() - began_at) / count)
         self._judge_text(entry)
--- a/archhatch/share_group/replica_feedback.py
+++ b/archhatch/share_group/replica_feedback.py
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from ..rollout_controller.engines import Engine
 
-DOUBT_BACKOFF_GAPS = 0.4  # in gap_s: until an order's outcome is cleared up, in most cases
-FULL_BACKOFF_GAPS = 0.2  # in gap_s: until one of a full replica's streams has ended, in most cases
+DOUBT_BACKOFF_GAPS = 0.4  # in replica_pause_s: until an order's outcome is cleared up, in most cases
+FULL_BACKOFF_GAPS = 0.2  # in replica_pause_s: until one of a full replica's streams has ended, in most cases
 REJECTIONS = frozenset({SignalKind.DOUBT, SignalKind.FULL})
 PACE_WEIGHT = 0.1  # weight of the newest run in the moving mean of the pace
 
@@ -55,4 +55,4 @@
         if kind == SignalKind.DOUBT:
             self.host.orders.verify_replica(engine)
             backoff_gaps = DOUBT_BACKOFF_GAPS
-        engine.paused_until = now + self.host.gap_s() * backoff_gaps
+        engine.paused_until = now + self.host.replica_pause_s() * backoff_gaps
--- a/archhatch/store/heartbeat.py
+++ b/archhatch/store/heartbeat.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leading:
+class LedRunStatus:
     """A run that a store leads, or is taking over.
 
     Attributes:
@@ -23,16 +23,16 @@
     spared: tuple = ()
 
 
-def _encode_led_runs(led_runs: dict[str, Leading] | None) -> dict | None:
+def _encode_led_runs(led_runs: dict[str, LedRunStatus] | None) -> dict | None:
     if led_runs is None:
         return None
     return {run: [status.term, round(status.idle_s, 3), list(status.spared)] for run, status in led_runs.items()}
 
 
-def _decode_led_runs(rows: dict | None) -> dict[str, Leading] | None:
+def _decode_led_runs(rows: dict | None) -> dict[str, LedRunStatus] | None:
     if rows is None:
         return None
-    return {run: Leading(term, idle_s, tuple(spared)) for run, (term, idle_s, spared) in rows.items()}
+    return {run: LedRunStatus(term, idle_s, tuple(spared)) for run, (term, idle_s, spared) in rows.items()}
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
         led_runs: The runs that it leads; None from a store that does not report them.
         slots_demanded: By service, the slots that the runs led there need.
 
-    >>> status = HeartbeatStatus({"id": "a"}, {"r": 2}, 0.0, led_runs={"r": Leading(2, 0.5, ("b",))})
+    >>> status = HeartbeatStatus({"id": "a"}, {"r": 2}, 0.0, led_runs={"r": LedRunStatus(2, 0.5, ("b",))})
     >>> HeartbeatStatus.from_document(status.to_document()) == status
     True
     """
@@ -63,5 +63,7 @@
     has_room: bool = wire("roomy", default=True)
     is_departing: bool = wire("departing", default=False)
     oldest_write_s: float = wire("oldest_write_s", default=0.0)
-    led_runs: dict[str, Leading] | None = wire("leads", default=None, encode=_encode_led_runs, decode=_decode_led_runs)
+    led_runs: dict[str, LedRunStatus] | None = wire(
+        "leads", default=None, encode=_encode_led_runs, decode=_decode_led_runs
+    )
     slots_demanded: dict[str, float] = wire("demand", default_factory=dict)
--- a/archhatch/store/join.py
+++ b/archhatch/store/join.py
@@ -55,7 +55,7 @@
     def id(self) -> str:
         """The store's id."""
 
-    def card(self) -> NodeCard:
+    def identity(self) -> NodeCard:
         """How the store introduces itself."""
 
     def members(self) -> dict:
@@ -134,4 +134,4 @@
             store.counters.add("join.postponed")
             return
         store.replicator.store_id = store.id
-        store.config_watcher.card = store.card()
+        store.config_watcher.card = store.identity()
--- a/archhatch/store/membership.py
+++ b/archhatch/store/membership.py
@@ -51,7 +51,7 @@
     def id(self) -> str:
         """The store's id."""
 
-    def card(self) -> NodeCard:
+    def identity(self) -> NodeCard:
         """How the store introduces itself."""
 
     def members(self) -> dict:
@@ -238,7 +238,7 @@
         """Returns this store's report. One that has not read all terms yet proves nothing about them."""
         store = self.store
         return HeartbeatStatus(
-            identity=store.card(),
+            identity=store.identity(),
             promised_terms=store.record_store.promised_terms if store.ready else None,
             timer_lag_s=self.timer_lag_s,
             accepts_records=store.disk.takes and store.ready and not store.leaving,
@@ -316,7 +316,7 @@
         """Asks a store for its report; what another incarnation at its address answers is not believed."""
         store = self.store
         asked_at = store.clock.now()
-        request = {"to": store_id, "card": store.card()}
+        request = {"to": store_id, "card": store.identity()}
         document: Any
         try:
             code, document, _ = await store.connections.to(address).call("store.ping", request, timeout_s=store.quiet_s)
--- a/archhatch/store/node.py
+++ b/archhatch/store/node.py
@@ -117,7 +117,7 @@
         self.verbs = Handlers()
         StoreHandlers(self).register(self.verbs)
         self.ledger.register(self.verbs)
-        self.desk = Server(self.verbs, self.log, self.counters, lambda: self.id)
+        self.rpc_server = Server(self.verbs, self.log, self.counters, lambda: self.id)
 
     async def start(self) -> None:
         """Loads the log, opens the port and begins all duties."""
@@ -126,7 +126,7 @@
         self.leader = PartitionLeader(_as_host(self), self.settings.share_lock_s, self.settings.share_locks)
         self.worker = Worker(_as_host(self))
         self.orders = WeightOrders(_as_host(self))
-        await self.desk.open(f"{self.settings.ip_address}:{self.port}")
+        await self.rpc_server.open(f"{self.settings.ip_address}:{self.port}")
         for name, duty in self._duties().items():
             self.task_group.run_forever(name, duty)
         jobs = len(self.record_store.batch_jobs)
@@ -159,7 +159,7 @@
             self.usage.platform = platform
             self.capacity.platform = platform
         self.config_watcher = ConfigWatcher(
-            settings, self.card(), self.connections, self.state_board, self.clock, self.counters
+            settings, self.identity(), self.connections, self.state_board, self.clock, self.counters
         )
         self.config_watcher.successes_by_zone = self.load_balancer.proved
         self.replicator = Replicator(
@@ -209,11 +209,11 @@
         return self.record_store.id
 
     @property
-    def lag(self) -> float:
+    def timer_lag_s(self) -> float:
         """How late this node's timers are, as a moving average."""
         return self.membership.timer_lag_s
 
-    def card(self) -> NodeCard:
+    def identity(self) -> NodeCard:
         """Returns how this store introduces itself to other nodes."""
         return {
             "id": self.id,
@@ -229,7 +229,7 @@
         self.leaving = True
         await Departure(self).run()
         await self.task_group.cancel_all()
-        await self.desk.close()
+        await self.rpc_server.close()
         await self.upstream_client.close()
         self.connections.end()
         await self.ledger.close()
@@ -238,7 +238,7 @@
 
     # -- what the control nodes and the other stores say
 
-    def gap_s(self) -> float:
+    def replica_pause_s(self) -> float:
         """Returns the unit of pauses that depend on how fast replicas should answer, in seconds."""
         return self.settings.seconds("ContactMs", REPLICA_PAUSE_CONTACT_FRACTION)
 
@@ -295,7 +295,7 @@
         """Returns a leadership of a run that has not begun yet."""
         return LeadershipTerm(_as_host(self), run, term)
 
-    async def ask_store(self, store_id: str, address: str, verb: str, document: dict) -> Any:  # noqa: ANN401 - each verb has its own answer
+    async def call_store(self, store_id: str, address: str, verb: str, document: dict) -> Any:  # noqa: ANN401 - each verb has its own answer
         """Calls a store's verb.
 
         Args:
@@ -320,7 +320,9 @@
             return None
         return answer if code == DONE else None
 
-    async def fetch(self, store_id: str, address: str, job_id: str, positions: list, wants_job: bool) -> list | None:
+    async def fetch_records(
+        self, store_id: str, address: str, job_id: str, positions: list, wants_job: bool
+    ) -> list | None:
         """Fetches records of a job from another store.
 
         Args:
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -806,7 +806,7 @@
 
     async def go():
         node = StoreNode(settings(tmp_path, "disk-1", "10.0.1.1"), open_logs("t", "CRITICAL"), HandClock())
-        node.desk = SimpleNamespace(open=no_port)
+        node.rpc_server = SimpleNamespace(open=no_port)
         with pytest.raises(_EnoughError):
             await node.start()
         node.config_watcher = SimpleNamespace(shards={})
--- a/tests/evacuation/test_evacuation_system.py
+++ b/tests/evacuation/test_evacuation_system.py
@@ -51,7 +51,7 @@
     w = await day(tmp_path)
     if silent_s is not None:
         for store in w.stores.values():
-            store.gap_s = lambda: silent_s
+            store.replica_pause_s = lambda: silent_s
     try:
         await w.load("before", lambda k: k >= 4)
         assert (await w.planned())[0] == 200 and not w.tenant.notices
--- a/tests/jobs/test_quorum.py
+++ b/tests/jobs/test_quorum.py
@@ -91,7 +91,7 @@
 class Node:
     """What a leadership term needs of a store."""
 
-    confirmed, fetch, ask_store = StoreNode.confirmed, StoreNode.fetch, StoreNode.ask_store
+    confirmed, fetch_records, call_store = StoreNode.confirmed, StoreNode.fetch_records, StoreNode.call_store
 
     def __init__(self, site, place, wal, sid):
         self.site, self.place, self.id, self.clock, self.settings = site, place, sid, site.clock, site.settings
@@ -127,7 +127,7 @@
         code, doc, _ = commands.run(self.site.value, name, args)
         return code, orjson.loads(orjson.dumps(doc))
 
-    def card(self):
+    def identity(self):
         return {"id": self.id}
 
     def members(self):
--- a/tests/rollout_controller/test_load_limit.py
+++ b/tests/rollout_controller/test_load_limit.py
@@ -80,7 +80,7 @@
             await w.add_replica("quote")
             await w.until(w.edge.state_board, "roll", lambda: len(w.edge.load_balancer.all) == 2)
             for s in w.stores.values():
-                s.gap_s = lambda: 5.0  # streams that stand still on purpose are not taken for dead ones
+                s.replica_pause_s = lambda: 5.0  # streams that stand still on purpose are not taken for dead ones
             r.gate.clear()
             assert await w.hand_in("lot1", batch_job(groups=2)) == 202
             store = await asyncio.wait_for(wait_busy(w, r, 4), 30)
--- a/tests/rollout_controller/test_scoring.py
+++ b/tests/rollout_controller/test_scoring.py
@@ -57,7 +57,7 @@
         load_balancer=load_balancer,
         heartbeat_interval_s=0.01,
         upstream_client=FakeCaller(answers),
-        gap_s=lambda: 0.0,
+        replica_pause_s=lambda: 0.0,
     )
     return store, Scoring(store, LoadLimit())
 
--- a/tests/rollout_controller/test_weight_orders.py
+++ b/tests/rollout_controller/test_weight_orders.py
@@ -110,7 +110,7 @@
         upstream_client=replica,
         log=open_logs("t", "CRITICAL"),
         heartbeat_interval_s=0.001,
-        gap_s=lambda: 0.02,
+        replica_pause_s=lambda: 0.02,
         named=lambda: {m: named for m in models},
         models_of=lambda run: list(models),
         plan=RoutingTable({"Revision": 1, "RouteTable": [], "ServiceTable": []}),
--- a/tests/share_group/test_share_group.py
+++ b/tests/share_group/test_share_group.py
@@ -30,7 +30,7 @@
 async def stand_still(w, job_id, groups=2):
     """A lot whose streams stand still after two events, and the store that leads."""
     for s in w.stores.values():
-        s.gap_s = lambda: 5.0  # streams that stand still on purpose are not taken for dead ones
+        s.replica_pause_s = lambda: 5.0  # streams that stand still on purpose are not taken for dead ones
     for r in w.replicas[:2]:
         r.gate.clear()
     assert await w.hand_in(job_id, batch_job(groups=groups)) == 202
--- a/tests/support/leadership_rig.py
+++ b/tests/support/leadership_rig.py
@@ -62,9 +62,9 @@
     def confirmed(self, run, term, timeout_s):
         return self.proof
 
-    async def ask_store(self, sid, address, verb, doc):
+    async def call_store(self, sid, address, verb, doc):
         return None if sid in self.silent else await self.record_stores[sid].prepare(doc["run"], doc["term"])
 
-    async def fetch(self, sid, address, job_id, poss, batch_job):
+    async def fetch_records(self, sid, address, job_id, poss, batch_job):
         records = self.record_stores[sid].fetch(job_id, poss, batch_job)
         return [Record(orjson.loads(orjson.dumps(r.head)), r.body) for r in records]
--- a/tests/support/lease_rig.py
+++ b/tests/support/lease_rig.py
@@ -61,7 +61,7 @@
             leadership.step_down()
         return out
 
-    def card(self):
+    def identity(self):
         return {"id": self.id, "life": self.incarnation}
 
 
--- a/tests/support/standins.py
+++ b/tests/support/standins.py
@@ -186,7 +186,7 @@
     async def kill(self, node):
         """What a killed process leaves: closed sockets and its disk."""
         await node.task_group.cancel_all()
-        await node.desk.close()
+        await (node.rpc_server if isinstance(node, StoreNode) else node.desk).close()
         node.connections.end()
         if hasattr(node, "window"):
             await node.window.close(0)
