--- a/archhatch/control/admin_api.py
+++ b/archhatch/control/admin_api.py
@@ -225,7 +225,7 @@
         code, document = await self.node.registers.run(PLAN, "evacuation.plan", {**args, "dry_run": True})
         if code != DONE:
             return error_result(code, str(document))
-        missing = self.node.evacuations.lacks(args["plan"], document["RuleList"])
+        missing = self.node.evacuations.capacity_gaps(args["plan"], document["RuleList"])
         if missing and document["OperState"] == "planned":
             return error_result(TARGET_LACKS_CAPACITY, "; ".join(missing))
         return None
--- a/archhatch/evacuation/__init__.py
+++ b/archhatch/evacuation/__init__.py
@@ -1,11 +1,12 @@
-"""Planned evacuation: a tenant is told, then its requests and rollouts move to another region, and later back.
+"""Planned evacuation: a tenant is notified, then its requests and rollouts move to another region, and later back.
 
-`record` holds the states and what a data-plane node needs to know, `plans` reads an operator's plan, `commands` keeps
-the records in the agreed state, `room` checks the target, `notices` tells the tenant, `duty` drives records on the
-control node that holds the lease, `client` is the command line.
+`record` holds the states and what other nodes need to know, `plans` reads an operator's plan, `commands` keeps the
+records in the plan register. On the control node that holds the lease, `controller` drives the records by the rules in
+`decisions`; `readiness` and `target_capacity` say how far they are, `notice_sender` and `notices` notify the tenant.
+`client` is the command line.
 """
 
-from .record import Moves, EvacuationState
+from .record import EvacuationState, Moves
 
 __all__ = [
     "EvacuationState",
--- a/archhatch/evacuation/client.py
+++ b/archhatch/evacuation/client.py
@@ -5,7 +5,10 @@
 import asyncio
 import sys
 import tomllib
+from collections.abc import Callable, Coroutine
 from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
 from urllib.parse import quote
 
 import orjson
@@ -14,13 +17,15 @@
 from ..runtime import SettingsError, read_settings
 from .plans import InvalidPlanError, read_plan
 
-USE = """archhatch: evacuate: say one of
+USAGE = """archhatch: evacuate: say one of
   evacuate plan FILE [--dry_run]    check a plan (TOML) and have it taken; --dry_run: only say what would be taken
   evacuate start ID                 tell the tenant, prepare the target, move
   evacuate status [ID]              where it stands, and how it came there
   evacuate cancel ID [--reason=WHY] give it up; what is moving goes home
   evacuate return ID [--reason=WHY] bring the tenant home"""
 
+EXIT_OK, EXIT_FAILURE, EXIT_USAGE = 0, 1, 2
+
 
 @dataclass(frozen=True, slots=True)
 class EvacuationOptions:
@@ -38,14 +43,11 @@
 
 
 class EvacuationClient:
-    """Runs one command; its status: 0 done, 1 a fault, 2 wrong use.
-
-    >>> # status = EvacuationClient(EvacuationOptions()).run(["status"])
-    """
+    """Runs a command of the command line."""
 
-    def __init__(self, options: EvacuationOptions):
-        self.options = options
-        self.table = {
+    def __init__(self, options: EvacuationOptions) -> None:
+        self._options = options
+        self._commands: dict[tuple[str, int], Callable[..., Coroutine[Any, Any, int]]] = {  # by name and arguments
             ("plan", 1): self._plan,
             ("start", 1): self._start,
             ("status", 0): self._status,
@@ -54,46 +56,46 @@
             ("return", 1): self._return,
         }
 
-    def run(self, args: list) -> int:
-        """One command."""
-        command = self.table.get((args[0], len(args) - 1)) if args else None
+    def run(self, args: list[str]) -> int:
+        """Runs one command.
+
+        Args:
+            args: The command's name and its arguments.
+
+        Returns:
+            The exit status: EXIT_OK, EXIT_FAILURE, or EXIT_USAGE for wrong use.
+        """
+        command = self._commands.get((args[0], len(args) - 1)) if args else None
         if command is None:
-            print(USE, file=sys.stderr)
-            return 2
+            print(USAGE, file=sys.stderr)
+            return EXIT_USAGE
         try:
             return asyncio.run(command(*args[1:]))
-        except (SettingsError, CommandFailedError) as e:
-            print(f"archhatch: {e}", file=sys.stderr)
-        except InvalidPlanError as e:
-            print(f"archhatch: evacuate: {args[1]}: {e}", file=sys.stderr)
-        return 1
-
-    async def _call(self, method: str, path: str, doc: dict | None = None) -> dict:
-        async with ControlPlane(read_settings(self.options.settings)) as control:
-            body = None if doc is None else orjson.dumps(doc)
-            status, answer = await control.call(method, f"/api/evacuations{path}", body)
-        if status != 200:
-            raise CommandFailedError(f"code {answer.get('Error')} {answer.get('Says')}: {answer.get('Why')}")
-        return answer
+        except (SettingsError, CommandFailedError) as error:
+            print(f"archhatch: {error}", file=sys.stderr)
+        except InvalidPlanError as error:
+            print(f"archhatch: evacuate: {args[1]}: {error}", file=sys.stderr)
+        return EXIT_FAILURE
+
+    async def _call(self, method: str, path: str, document: dict | None = None) -> dict:
+        async with ControlPlane(read_settings(self._options.settings)) as control_plane:
+            body = None if document is None else orjson.dumps(document)
+            answer = await control_plane.call(method, f"/api/evacuations{path}", body)
+        return answer.check()
 
     async def _plan(self, path: str) -> int:
-        try:
-            with open(path, "rb") as file:
-                doc = tomllib.load(file)
-        except OSError as e:
-            raise CommandFailedError(f"{path}: {e.strerror}") from e
-        except (tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
-            raise CommandFailedError(f"{path}: is not TOML: {e}") from e
-        plan = read_plan(doc)
-        got = await self._call("POST", "", {**plan, "DryRun": bool(self.options.dry_run)})
-        print("would be taken:" if self.options.dry_run else "taken:")
-        print("\n".join(describe(got)))
-        return 0
+        plan = read_plan(_read_toml(path))
+        is_dry_run = bool(self._options.dry_run)
+        record = await self._call("POST", "", {**plan, "DryRun": is_dry_run})
+        print("would be taken:" if is_dry_run else "taken:")
+        print("\n".join(describe(record)))
+        return EXIT_OK
 
     async def _order(self, name: str, order: str) -> int:
-        doc = {"Reason": self.options.reason or ""}
-        print("\n".join(describe(await self._call("POST", f"/{quote(name, safe='')}/{order}", doc))))
-        return 0
+        reason = {"Reason": self._options.reason or ""}
+        record = await self._call("POST", f"/{quote(name, safe='')}/{order}", reason)
+        print("\n".join(describe(record)))
+        return EXIT_OK
 
     async def _start(self, name: str) -> int:
         return await self._order(name, "start")
@@ -105,29 +107,41 @@
         return await self._order(name, "return")
 
     async def _status(self, name: str | None = None) -> int:
-        got = await self._call("GET", "" if name is None else f"/{quote(name, safe='')}")
-        rows = got["EvacuationTable"] if name is None else [got]
-        print("\n".join(line for row in rows for line in describe(row)) or "no evacuation is known")
-        return 0
+        if name is None:
+            records = (await self._call("GET", ""))["EvacuationTable"]
+        else:
+            records = [await self._call("GET", f"/{quote(name, safe='')}")]
+        print("\n".join(line for record in records for line in describe(record)) or "no evacuation is known")
+        return EXIT_OK
+
+
+def _read_toml(path: str) -> dict:
+    try:
+        with Path(path).open("rb") as file:
+            return tomllib.load(file)
+    except OSError as error:
+        raise CommandFailedError(f"{path}: {error.strerror}") from error
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise CommandFailedError(f"{path}: is not TOML: {error}") from error
 
 
-def describe(record: dict) -> list:
-    """Lines on one evacuation.
+def describe(record: dict) -> list[str]:
+    """Returns lines on one evacuation, as the control plane shows it.
 
     >>> describe({"Id": "e", "Tenant": "t", "Origin": "a", "Target": "b", "OperState": "moved", "Placed": "target",
     ...           "RuleList": ["q"], "NoticeTable": {}, "RunTable": {}, "Log": []})[0]
     'e: moved; tenant t (rules q) from a to b; new requests go to b'
     """
     place = record["Target"] if record["Placed"] == "target" else record["Origin"]
-    rows = [
+    lines = [
         f"{record['Id']}: {record['OperState']}; tenant {record['Tenant']} (rules {', '.join(record['RuleList'])}) "
         f"from {record['Origin']} to {record['Target']}; new requests go to {place}"
     ]
-    rows += [f"  notice {kind}: {word}" for kind, word in record["NoticeTable"].items()]
+    lines += [f"  notice {kind}: {outcome}" for kind, outcome in record["NoticeTable"].items()]
     for run, report in record["RunTable"].items():
-        words = [word for word in ("copied", "drained") if report[word]]
-        rows.append(f"  run {run}, term {report['term']}: {', '.join(words) or 'not copied yet'}")
+        done = [key for key in ("copied", "drained") if report[key]]
+        lines.append(f"  run {run}, term {report['term']}: {', '.join(done) or 'not copied yet'}")
     for row in record["Log"]:
-        words = f"  after {row['AgeS']:.0f} s {row['OperState']} by {row['By']}"
-        rows.append(words + (f": {row['Why']}" if row["Why"] else ""))
-    return rows
+        line = f"  after {row['AgeS']:.0f} s {row['OperState']} by {row['By']}"
+        lines.append(f"{line}: {row['Why']}" if row["Why"] else line)
+    return lines
--- a/archhatch/evacuation/notices.py
+++ b/archhatch/evacuation/notices.py
@@ -1,8 +1,7 @@
-"""Telling a tenant: an HTTP call with an id and a signature, repeated with growing pauses until it is acknowledged."""
+"""Notices to a tenant: a signed HTTP call with an id, repeated with growing pauses until it is acknowledged."""
 
 from __future__ import annotations
 
-import asyncio
 import hashlib
 import hmac
 import ssl
@@ -11,19 +10,22 @@
 import orjson
 from tenacity import AsyncRetrying, RetryError, retry_if_exception_type, stop_after_delay, wait_random_exponential
 
-ID = "X-Archhatch-Notice-Id"
-SIGNATURE = "X-Archhatch-Notice-Signature"
-FIRST_PAUSE_S = 0.25  # the pauses between tries grow from here,
-LONGEST_PAUSE_S = 30.0  # ... to this,
-ANSWER_S = 5.0  # ... and a try waits so long for its answer
+from ..exceptions import ArchhatchError
 
+ID_HEADER = "X-Archhatch-Notice-Id"
+SIGNATURE_HEADER = "X-Archhatch-Notice-Signature"
+FIRST_PAUSE_S = 0.25  # the pauses between tries grow from here
+MAX_PAUSE_S = 30.0  # ... to here
+ANSWER_TIMEOUT_S = 5.0  # of one try
+ACKNOWLEDGED = range(200, 300)  # the HTTP statuses by which a tenant acknowledges
 
-class NotAcknowledgedError(Exception):
-    """The tenant's address gave no 2xx."""
+
+class NotAcknowledgedError(ArchhatchError):
+    """A try, or all tries, of a notice ended without an acknowledgement."""
 
 
 def sign(key: bytes, body: bytes) -> str:
-    """What a tenant checks: the HMAC of the body under the key that it shares with the operator.
+    """Returns the signature that a tenant checks: the HMAC of the body under the key that it shares with the operator.
 
     >>> sign(b"k", b"") == "sha256=" + hmac.new(b"k", b"", "sha256").hexdigest()
     True
@@ -32,45 +34,62 @@
 
 
 class Notice:
-    """One notice; send() returns when it was acknowledged, or raises NotAcknowledgedError when its time is over.
+    """One notice. The tenant may get it more than once, always with the same id.
 
-    The tenant may get it more than once, always with the same id.
+    >>> notice = Notice("http://10.0.0.1/n", b"key", {"Id": "e1", "Kind": "move"})
+    >>> notice.name
+    'e1.move'
 
-    >>> # await Notice("http://10.0.0.1/n", key, {"Id": "e1", "Kind": "move"}).send(within_s=60.0)
+    Attributes:
+        url: The tenant's address.
+        key: The key that signs the notice.
+        document: The body.
+        tries: How often it was sent.
     """
 
-    def __init__(self, url: str, key: bytes, doc: dict, first_pause_s: float = FIRST_PAUSE_S):
-        self.url, self.key, self.doc = url, key, doc
+    def __init__(self, url: str, key: bytes, document: dict, first_pause_s: float = FIRST_PAUSE_S) -> None:
+        self.url = url
+        self.key = key
+        self.document = document
         self.tries = 0
-        self._pause = wait_random_exponential(multiplier=first_pause_s, max=LONGEST_PAUSE_S)
+        self._wait = wait_random_exponential(multiplier=first_pause_s, max=MAX_PAUSE_S)
 
     @property
     def name(self) -> str:
-        """The id under which the tenant knows it again."""
-        return f"{self.doc['Id']}.{self.doc['Kind']}"
+        """The id under which the tenant recognizes it."""
+        return f"{self.document['Id']}.{self.document['Kind']}"
 
     async def send(self, within_s: float) -> None:
-        """Try until it is acknowledged."""
-        body = orjson.dumps(self.doc)
-        heads = {"Content-Type": "application/json", ID: self.name, SIGNATURE: sign(self.key, body)}
-        failures = (aiohttp.ClientError, OSError, asyncio.TimeoutError, NotAcknowledgedError)
-        again = AsyncRetrying(
-            retry=retry_if_exception_type(failures), wait=self._pause, stop=stop_after_delay(within_s)
+        """Sends the notice again and again until it is acknowledged.
+
+        Raises:
+            NotAcknowledgedError: The time is over.
+        """
+        body = orjson.dumps(self.document)
+        headers = {
+            "Content-Type": "application/json",
+            ID_HEADER: self.name,
+            SIGNATURE_HEADER: sign(self.key, body),
+        }
+        failures = (aiohttp.ClientError, OSError, TimeoutError, NotAcknowledgedError)
+        retries = AsyncRetrying(
+            retry=retry_if_exception_type(failures), wait=self._wait, stop=stop_after_delay(within_s)
         )
-        timeout = aiohttp.ClientTimeout(total=ANSWER_S)
+        timeout = aiohttp.ClientTimeout(total=ANSWER_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout, connector=self._connector()) as session:
             try:
-                async for attempt in again:
+                async for attempt in retries:
                     with attempt:
-                        await self._try(session, body, heads)
-            except RetryError as e:
-                raise NotAcknowledgedError(f"{self.tries} tries; the last: {e.last_attempt.exception()!r}") from None
+                        await self._try(session, body, headers)
+            except RetryError as error:
+                last = error.last_attempt.exception()
+                raise NotAcknowledgedError(f"{self.tries} tries; the last: {last!r}") from None
 
-    async def _try(self, session, body: bytes, heads: dict) -> None:
+    async def _try(self, session: aiohttp.ClientSession, body: bytes, headers: dict[str, str]) -> None:
         self.tries += 1
-        async with session.post(self.url, data=body, headers=heads, allow_redirects=False) as response:
+        async with session.post(self.url, data=body, headers=headers, allow_redirects=False) as response:
             await response.read()
-            if not 200 <= response.status < 300:
+            if response.status not in ACKNOWLEDGED:
                 raise NotAcknowledgedError(f"status {response.status}")
 
     def _connector(self) -> aiohttp.TCPConnector:
--- a/archhatch/evacuation/record.py
+++ b/archhatch/evacuation/record.py
@@ -1,4 +1,4 @@
-"""An evacuation's states, and what nodes of the data plane and stores make of the records that the feed brings."""
+"""The states of an evacuation, and what other nodes make of the records that the feed carries."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
     """Where an evacuation stands."""
 
     PLANNED = "planned"
-    ANNOUNCED = "announced"  # started: the tenant is being told
-    PREPARING = "preparing"  # copies of open lots come to the target
+    ANNOUNCED = "announced"  # started: the tenant is being notified
+    PREPARING = "preparing"  # copies of open batch jobs come to the target
     MOVING = "moving"  # requests go to the target; what runs in the origin ends there or goes on in the target
     MOVED = "moved"
     RETURNING = "returning"
@@ -30,9 +30,9 @@
 FINAL = frozenset({EvacuationState.RETURNED, EvacuationState.CANCELLED, EvacuationState.FAILED})
 BEFORE_MOVE = frozenset({EvacuationState.PLANNED, EvacuationState.ANNOUNCED, EvacuationState.PREPARING})
 
-# steps that the holder of the duty takes, beside those that an operator orders: from a state and a place to a state,
-# and where new requests go from then on
-STEPS = {
+# The steps that the holder of the lease takes, beside those that an operator orders: from a state and a place to a
+# state, and where new requests go from then on.
+STEPS: dict[tuple[EvacuationState, Place, EvacuationState], Place] = {
     (EvacuationState.PLANNED, Place.ORIGIN, EvacuationState.FAILED): Place.ORIGIN,
     (EvacuationState.ANNOUNCED, Place.ORIGIN, EvacuationState.PREPARING): Place.ORIGIN,
     (EvacuationState.ANNOUNCED, Place.ORIGIN, EvacuationState.FAILED): Place.ORIGIN,
@@ -47,79 +47,96 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """One evacuation as the feed tells of it.
+    """One evacuation as the feed carries it.
 
-    >>> m = Move.read("e1", {"rules": ["q"], "origin": "a", "target": "b", "state": "moving", "placed": "target"})
-    >>> m.here, m.copies_in, m.settling
+    >>> row = {"rules": ["q"], "origin": "a", "target": "b", "state": "moving", "placed": "target"}
+    >>> move = Move.from_document("e1", row)
+    >>> move.serving_region, move.copies_region, move.is_settling
     ('b', 'b', True)
+
+    Attributes:
+        name: The evacuation's id.
+        rules: The rules of the policy that it moves.
+        origin: The region that the tenant leaves.
+        target: The region that it moves to.
+        state: Where the evacuation stands.
+        placed: Where the tenant's new requests go.
     """
 
     name: str
-    rules: frozenset
+    rules: frozenset[str]
     origin: str
     target: str
     state: EvacuationState
     placed: Place
 
     @classmethod
-    def read(cls, name: str, doc: dict) -> Move:
-        """From a row of the feed."""
+    def from_document(cls, name: str, document: dict) -> Move:
+        """Reads a row of the feed, or a record."""
         return cls(
-            name,
-            frozenset(doc["rules"]),
-            doc["origin"],
-            doc["target"],
-            EvacuationState(doc["state"]),
-            Place(doc["placed"]),
+            name=name,
+            rules=frozenset(document["rules"]),
+            origin=document["origin"],
+            target=document["target"],
+            state=EvacuationState(document["state"]),
+            placed=Place(document["placed"]),
         )
 
     @property
-    def here(self) -> str:
+    def serving_region(self) -> str:
         """The region of the tenant's new requests."""
         return self.target if self.placed is Place.TARGET else self.origin
 
     @property
-    def copies_in(self) -> str | None:
-        """The region that needs enough copies of the tenant's lots; None if none needs more than any other."""
+    def left_region(self) -> str:
+        """The region that new requests have left."""
+        return self.origin if self.placed is Place.TARGET else self.target
+
+    @property
+    def copies_region(self) -> str | None:
+        """The region that needs enough copies of the tenant's batch jobs; None if none needs more than any other."""
         if self.state in (EvacuationState.PREPARING, EvacuationState.MOVING, EvacuationState.MOVED):
             return self.target
         return self.origin if self.state is EvacuationState.RETURNING else None
 
     @property
-    def settling(self) -> bool:
+    def is_settling(self) -> bool:
         """Whether work that runs where it should no longer run is to end or go on elsewhere."""
-        return self.state is EvacuationState.MOVING or (
-            self.state is EvacuationState.RETURNING and self.placed is Place.ORIGIN
-        )
-
-    @property
-    def left(self) -> str:
-        """The region that new requests have left."""
-        return self.origin if self.placed is Place.TARGET else self.target
+        is_returning_home = self.state is EvacuationState.RETURNING and self.placed is Place.ORIGIN
+        return self.state is EvacuationState.MOVING or is_returning_home
 
 
 class Moves:
-    """The evacuations that are not over, by the rules of the policy that they move; made of the feed's rows or of
-    records.
+    """The evacuations that are not over, by the rules of the policy that they move.
 
     >>> moves = Moves({"e1": {"rules": ["q"], "origin": "a", "target": "b", "state": "moved", "placed": "target"}})
-    >>> moves.order("q", ["a", "b", "c"]), moves.order("r", ["a", "b"]), moves.of("q").name
+    >>> moves.order("q", ["a", "b", "c"]), moves.order("r", ["a", "b"]), moves.of_rule("q").name
     (['b', 'c', 'a'], ['a', 'b'], 'e1')
+
+    Attributes:
+        all: The evacuations.
     """
 
-    def __init__(self, table: dict | None = None):
-        self.all = [Move.read(name, doc) for name, doc in (table or {}).items() if doc["state"] not in FINAL]
+    def __init__(self, records: dict[str, dict] | None = None) -> None:
+        """Reads evacuations.
+
+        Args:
+            records: Rows of the feed or whole records, by id.
+        """
+        self.all = [
+            Move.from_document(name, record) for name, record in (records or {}).items() if record["state"] not in FINAL
+        ]
         self._by_rule = {rule: move for move in self.all for rule in move.rules}
 
     def __str__(self) -> str:
-        return ", ".join(f"{m.name} {m.state}: {m.origin} to {m.target}" for m in self.all) or "none"
+        return ", ".join(f"{move.name} {move.state}: {move.origin} to {move.target}" for move in self.all) or "none"
 
-    def of(self, rule: str) -> Move | None:
-        """The evacuation that a rule is part of."""
+    def of_rule(self, rule: str) -> Move | None:
+        """Returns the evacuation that moves a rule, or None."""
         return self._by_rule.get(rule)
 
-    def order(self, rule: str, regions: list) -> list:
-        """A rule's regions as a move has them: the target first, and the origin only where nothing else is left."""
+    def order(self, rule: str, regions: list[str]) -> list[str]:
+        """Returns a rule's regions as its move orders them: the target first, the origin only without any other."""
         move = self._by_rule.get(rule)
         if move is None or move.placed is Place.ORIGIN:
             return regions
--- a/archhatch/evacuation/target_capacity.py
+++ b/archhatch/evacuation/target_capacity.py
@@ -1,72 +1,122 @@
-"""Whether the target of an evacuation can take a tenant: its replicas, their places and weights, and its stores."""
+"""Whether the target of an evacuation can take a tenant: its replicas' slots and weights, and its stores."""
 
 from __future__ import annotations
 
+from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
 
-ROLLOUTS = ("rollout", "batch")  # kinds of lanes whose requests come as lots
+if TYPE_CHECKING:
+    from ..jobs import Quorum
+    from ..region_policy import Placement
+    from ..routing import RoutingTable
+
+ROLLOUT_KINDS = ("rollout", "batch")  # kinds of routes whose requests come as batch jobs
+FIRST_VERSION = 1  # a model of which no version was named has this one
 
 
 @dataclass(frozen=True, slots=True)
 class Needs:
-    """What a tenant's lanes lead to: all services, and those of them whose runs come as lots, with their models."""
+    """What a tenant's routes lead to.
+
+    Attributes:
+        services: All services.
+        runs: The services whose requests come as batch jobs.
+        models: The service of each model that is trained on these runs.
+        longest_s: The longest time-out of the tenant's live requests.
+    """
 
-    services: frozenset
-    runs: frozenset
-    models: dict  # model -> its service, for the models that are trained on these runs
-    longest_s: float  # the longest time-out of its live requests
+    services: frozenset[str]
+    runs: frozenset[str]
+    models: dict[str, str]
+    longest_s: float
 
     @classmethod
-    def of(cls, plan, placement, rules: list) -> Needs:
-        """From the configuration and the policy: the lanes that one of these rules binds."""
-        services, runs, longest = set(), set(), 0.0
-        for route in plan.routes():
+    def of_rules(cls, routes: RoutingTable, placement: Placement, rules: Collection[str]) -> Needs:
+        """Collects the needs of the routes that one of these rules binds."""
+        services: set[str] = set()
+        runs: set[str] = set()
+        longest_s = 0.0
+        for route in routes.routes():
             rule = placement.rule(route)
             if rule is None or rule.name not in rules:
                 continue
             names = {service for service, _ in route.split}
             services |= names
-            if route.kind in ROLLOUTS:
+            if route.kind in ROLLOUT_KINDS:
                 runs |= names
             else:
-                longest = max(longest, route.timeout_s)
-        models = {model: service for model, service in plan.models().items() if service in runs}
-        return cls(frozenset(services), frozenset(runs), models, longest)
+                longest_s = max(longest_s, route.timeout_s)
+        models = {model: service for model, service in routes.models().items() if service in runs}
+        return cls(frozenset(services), frozenset(runs), models, longest_s)
 
 
-def lacks(needs: Needs, evacuation: dict, region_of: dict, replicas, members: dict, quorum) -> list:
-    """What the target lacks, in words; nothing if it can take the tenant.
+def capacity_gaps(  # noqa: PLR0913 - a pure function: it is given all that it judges by
+    needs: Needs,
+    plan: dict,
+    region_of: Mapping[str, str],
+    replicas: Iterable[Mapping[str, Any]],
+    members: dict,
+    quorum: Quorum,
+) -> list[str]:
+    """Finds what the target lacks.
 
-    evacuation: the plan of one. replicas: entries of the registry. members: the stores that may take records.
+    Args:
+        needs: What the tenant needs.
+        plan: The evacuation's plan.
+        region_of: The region of each zone.
+        replicas: The entries of the registry.
+        members: The stores that may take records.
+        quorum: Says how many copies are enough.
+
+    Returns:
+        What is lacking, in words; nothing if the target can take the tenant.
     """
-    out = []
-    places = _places(replicas, region_of)
+    gaps = []
+    target = plan["Target"]
+    slots = _slots(replicas, region_of)
     for service in sorted(needs.services):
-        here, there = (places.get((service, evacuation[key]), 0) for key in ("Origin", "Target"))
-        want = here * evacuation["Room"]
-        if there < want or (here and not there):
-            out.append(f"{service}: {there} places in {evacuation['Target']}, {want:g} wanted")
-    stores = {sid: m for sid, m in members.items() if region_of.get(m["zone"]) == evacuation["Target"]}
+        origin_slots = slots.get((service, plan["Origin"]), 0)
+        target_slots = slots.get((service, target), 0)
+        wanted = origin_slots * plan["Room"]
+        is_absent = origin_slots > 0 and target_slots == 0  # also with Room = 0, something must serve there
+        if target_slots < wanted or is_absent:
+            gaps.append(f"{service}: {target_slots} places in {target}, {wanted:g} wanted")
+    stores = {store_id: member for store_id, member in members.items() if region_of.get(member["zone"]) == target}
     if needs.runs and not quorum.has_enough_copies(stores, members):
-        out.append(f"{len(stores)} stores in {evacuation['Target']}: too few for copies that outlive what may be lost")
-    return out
+        gaps.append(f"{len(stores)} stores in {target}: too few for copies that outlive what may be lost")
+    return gaps
+
 
+def cold_models(
+    needs: Needs,
+    target: str,
+    region_of: Mapping[str, str],
+    replicas: Iterable[Mapping[str, Any]],
+    newest_versions: Mapping[str, int],
+) -> list[str]:
+    """Returns the models of which no replica of the target has loaded the newest version.
 
-def unloaded(needs: Needs, target: str, region_of: dict, replicas, named: dict) -> list:
-    """Models of which no replica of the target has the newest named weights."""
-    newest: dict = {}
+    Args:
+        needs: What the tenant needs.
+        target: The target's region.
+        region_of: The region of each zone.
+        replicas: The entries of the registry.
+        newest_versions: The newest named version of each model.
+    """
+    loaded: dict[str, int] = {}
     for entry in replicas:
         if entry["state"] == "up" and region_of.get(entry["zone"]) == target:
             for model, version in entry["models"].items():
-                newest[model] = max(version, newest.get(model, 0))
-    return sorted(model for model in needs.models if newest.get(model, 0) < named.get(model, 1))
+                loaded[model] = max(version, loaded.get(model, 0))
+    return sorted(model for model in needs.models if loaded.get(model, 0) < newest_versions.get(model, FIRST_VERSION))
 
 
-def _places(replicas, region_of: dict) -> dict:
-    """(service, region) -> places of its replicas that take requests."""
-    out: dict = {}
+def _slots(replicas: Iterable[Mapping[str, Any]], region_of: Mapping[str, str]) -> dict[tuple, int]:
+    """Returns the slots of the replicas that take requests, by (service, region)."""
+    slots: dict[tuple, int] = {}
     for entry in replicas:
         if entry["state"] == "up" and not entry.get("silent"):
             key = (entry["service"], region_of.get(entry["zone"]))
-            out[key] = out.get(key, 0) + entry["slots"]
-    return out
+            slots[key] = slots.get(key, 0) + entry["slots"]
+    return slots
--- a/archhatch/region_policy/placement.py
+++ b/archhatch/region_policy/placement.py
@@ -137,10 +137,10 @@
     def is_leaving(self, route: Route, zone: str) -> bool:
         """Whether a planned move takes a route's requests out of a zone: what runs there ends or goes on elsewhere."""
         rule = self.rule(route)
-        move = None if rule is None else self.moves.of(rule.name)
-        if move is None or not move.settling:
+        move = None if rule is None else self.moves.of_rule(rule.name)
+        if move is None or not move.is_settling:
             return False
-        return self.region_of.get(zone) == move.left and not self.allows(route, zone)
+        return self.region_of.get(zone) == move.left_region and not self.allows(route, zone)
 
     def allows(self, route: Route, zone: str) -> bool:
         """Whether a route's request may be sent to a zone now."""
--- a/archhatch/region_policy/region_monitor.py
+++ b/archhatch/region_policy/region_monitor.py
@@ -1,4 +1,4 @@
-"""A control node's background task that declares regions out and in again, from the signs of life it gathers."""
+"""A control node's background task that declares regions out and in again, from heartbeats and answers."""
 
 from __future__ import annotations
 
--- a/archhatch/share_group/recalls.py
+++ b/archhatch/share_group/recalls.py
@@ -68,7 +68,7 @@
         Not in a run that is about to be led from another region: texts that came back here would end with the term,
         while entries that run are taken up by the next leader, which recalls them.
         """
-        if not any(move.settling for move in self.host.placement.moves.all):
+        if not any(move.is_settling for move in self.host.placement.moves.all):
             return
         for name, run in self.runs.items():
             if not self.host.evacuation.leads_elsewhere(name):
--- a/archhatch/store/evacuation.py
+++ b/archhatch/store/evacuation.py
@@ -75,7 +75,7 @@
         for route in plan.routes():
             if route.kind in JOB_ROUTE_KINDS and any(service == run for service, _ in route.split):
                 rule = placement.rule(route)
-                moves.append(None if rule is None else placement.moves.of(rule.name))
+                moves.append(None if rule is None else placement.moves.of_rule(rule.name))
         return moves
 
     def leading_region(self, run: str) -> str | None:
@@ -85,7 +85,7 @@
         if move is None or any(other is not move for other in moves):
             return None
         is_decided = move.placed is Place.TARGET or move.state is EvacuationState.RETURNING
-        return move.here if is_decided else None
+        return move.serving_region if is_decided else None
 
     def leads_elsewhere(self, run: str) -> bool:
         """Returns whether another store should lead a run because of where this one stands."""
@@ -106,9 +106,9 @@
     def preferred_stores(self, run: str) -> frozenset[str]:
         """Returns the stores that should hold copies of a run's records before others do."""
         move = self.move_of(run)
-        if move is None or move.copies_in is None:
+        if move is None or move.copies_region is None:
             return frozenset()
-        return frozenset(self._stores_in(move.copies_in))
+        return frozenset(self._stores_in(move.copies_region))
 
     def _region(self, zone: str) -> str | None:
         return self.store.placement.region_of.get(zone)
@@ -135,9 +135,9 @@
         """Brings copies where they are needed, and reports, for each run that this store leads."""
         for run, leadership in list(self.store.leaderships.items()):
             move = self.move_of(run)
-            if move is None or move.copies_in is None or not leadership.is_confirmed():
+            if move is None or move.copies_region is None or not leadership.is_confirmed():
                 continue
-            has_copies = await self._copy(leadership, self._stores_in(move.copies_in))
+            has_copies = await self._copy(leadership, self._stores_in(move.copies_region))
             await self._report(
                 move, leadership, has_copies and not leadership.pending_jobs, self._is_drained(run, move)
             )
@@ -185,7 +185,7 @@
 
     def _is_drained(self, run: str, move: Move) -> bool:
         """Whether nothing of the run is at work, and it is not led, where it should not be any more."""
-        if not move.settling or self.leads_elsewhere(run):
+        if not move.is_settling or self.leads_elsewhere(run):
             return False
         partitions = self.store.leader.runs.get(run)
         if partitions is None:
@@ -193,7 +193,7 @@
         locked: list[Any] = [entry for window in partitions.windows.values() for entry in window.locked.values()]
         return not any(
             entry.engine is not None
-            and self._region(entry.engine.zone) == move.left
+            and self._region(entry.engine.zone) == move.left_region
             and self._is_moved(entry.batch_job, move)
             for entry in locked
         )
--- a/benchmarks/demo_evacuation.py
+++ b/benchmarks/demo_evacuation.py
@@ -55,7 +55,7 @@
         print("\nrequests that replicas took up, by region:")
         print(day.table(["before", "moving", "away", "home", "after"]))
         print("the tenant was told:", ", ".join(notice.name for notice in day.tenant.acknowledged))
-        print("broken promises:", seen_of(day).faults(must_be_told=False) or "none")
+        print("broken promises:", seen_of(day).faults(must_be_notified=False) or "none")
     finally:
         await day.finish()
 
--- a/tests/evacuation/test_commands.py
+++ b/tests/evacuation/test_commands.py
@@ -1,4 +1,4 @@
-"""Evacuation records: what operators, the duty's holder and stores may do to them, and what each is told."""
+"""Evacuation records: what operators, the lease's holder and stores may do to them, and what each is answered."""
 
 import copy
 import random
@@ -8,8 +8,8 @@
 from archhatch.region_policy import Placement
 from archhatch.region_policy.reader import read_policy
 from archhatch.control.registers import commands, feed_view
-from archhatch.evacuation.commands import KEEP_FINAL
-from archhatch.evacuation.plans import InvalidPlanError, mark, read_plan
+from archhatch.evacuation.commands import MAX_FINAL_RECORDS
+from archhatch.evacuation.plans import InvalidPlanError, plan_digest, read_plan
 from archhatch.evacuation.record import FINAL, Move, Moves, Place, EvacuationState
 
 POLICY = """version = 1
@@ -144,7 +144,7 @@
 def test_what_is_no_object_is_no_plan():
     with pytest.raises(InvalidPlanError):
         read_plan([PLAN])
-    assert mark(read_plan(PLAN)) != mark(read_plan({**PLAN, "Room": 2}))
+    assert plan_digest(read_plan(PLAN)) != plan_digest(read_plan({**PLAN, "Room": 2}))
 
 
 ORDERS = [  # state, order, code, state after it
@@ -231,11 +231,12 @@
 
 def test_records_that_are_over_are_forgotten_in_time():
     register = Register()
-    for n in range(KEEP_FINAL + 5):
+    for n in range(MAX_FINAL_RECORDS + 5):
         assert register.plan(Id=f"e{n}")[0] == 1000
         register.do("evacuation.cancel", id=f"e{n}", why="")
     assert (
-        len(register.value["evacuations"]) <= KEEP_FINAL + 1 and f"e{KEEP_FINAL + 4}" in register.value["evacuations"]
+        len(register.value["evacuations"]) <= MAX_FINAL_RECORDS + 1
+        and f"e{MAX_FINAL_RECORDS + 4}" in register.value["evacuations"]
     )
 
 
@@ -243,7 +244,7 @@
     name, host, prefix, kind = "q", "h", "/q/", "idempotent"
 
 
-PLACES = [  # state, placed, region out besides, order of the lane
+PLACES = [  # state, placed, region out besides, order of the regions
     ("planned", "origin", None, ["a", "b", "c"]),
     ("preparing", "origin", None, ["a", "b", "c"]),
     ("moving", "target", None, ["b", "c", "a"]),
@@ -271,9 +272,9 @@
 
 def test_moves_without_records():
     moves = Moves(None)
-    assert moves.order("q", ["a"]) == ["a"] and moves.of("q") is None and str(moves) == "none"
+    assert moves.order("q", ["a"]) == ["a"] and moves.of_rule("q") is None and str(moves) == "none"
     row = {"rules": [], "origin": "a", "target": "b", "state": "planned", "placed": "origin"}
-    assert Move.read("e", row).left == "b"
+    assert Move.from_document("e", row).left_region == "b"
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -315,7 +316,7 @@
     assert register.step("moving", age_s=31.0)[1]["Log"][-1]["AgeS"] == 31.0
 
 
-NOTICES = [  # words in the order in which they come, what the record says then
+NOTICES = [  # outcomes in the order in which they come, what the record says then
     (["failed", "acknowledged"], "acknowledged"),
     (["no key", "failed", "term over"], "term over"),
     (["term over", "failed"], "term over"),  # the last try ends as the term does
@@ -324,11 +325,11 @@
 ]
 
 
-@pytest.mark.parametrize("words, last", NOTICES)
-def test_a_late_failure_of_a_notice_undoes_nothing(words, last):
+@pytest.mark.parametrize("outcomes, last", NOTICES)
+def test_a_late_failure_of_a_notice_undoes_nothing(outcomes, last):
     register = Register().to("announced")
-    for word in words:
-        assert register.do("evacuation.notice", id="e1", term=1, kind="move", word=word)[0] == 1000
+    for outcome in outcomes:
+        assert register.do("evacuation.notice", id="e1", term=1, kind="move", word=outcome)[0] == 1000
     assert register.value["evacuations"]["e1"]["notices"] == {"move": last}
     before = copy.deepcopy(register.value)
     assert register.do("evacuation.notice", id="e1", term=1, kind="move", word=last)[2] is False
--- a/tests/evacuation/test_evacuation_system.py
+++ b/tests/evacuation/test_evacuation_system.py
@@ -7,7 +7,9 @@
 from tests.support.evacuation_rig import KEY, POLICY, EvacuationDay, Parting, Seen, seen_of, sound
 from tests.region_policy.test_regions_system import ZONES, RegionReplica
 
-KEEPALIVE_MS = 1000  # replicas here beat five times as often: late ones must not look silent on a busy machine
+KEEPALIVE_MS = (
+    1000  # replicas here send heartbeats five times as often: late ones must not look silent on a busy machine
+)
 # How long a move waits for live requests follows from StatusS, not from the routes' time-out: a request that is held in
 # its middle must not run out of time on a busy machine.
 BOUNDS = {"ConvergeMs": 300, "StatusS": 1.5}
@@ -78,7 +80,7 @@
         assert not seen_of(w).faults()
         names = [notice.name for notice in w.tenant.acknowledged]
         assert {"e1.move", "e1.return"} == set(names) and all(sound(n) for n in w.tenant.notices)
-        assert w.tenant.notices[0].doc["Tenant"] == "yards"
+        assert w.tenant.notices[0].document["Tenant"] == "yards"
     finally:
         await w.finish()
 
@@ -169,7 +171,7 @@
             else:
                 assert got["NoticeTable"]["move"] == "term over"
                 await w.reach("moved")
-            assert not seen_of(w).faults(must_be_told=False)
+            assert not seen_of(w).faults(must_be_notified=False)
         finally:
             await w.finish()
 
@@ -216,8 +218,8 @@
 PLANTED = [  # what is planted, words of the fault
     (lambda s: s.runs.append(("a.n.1", "n", "attica")), "ran 2 times"),
     (lambda s: s.runs.remove(("a.n.1", "n", "attica")), "never ran"),
-    (lambda s: setattr(s, "moved_at", 1.0), "before the tenant was told"),
-    (lambda s: s.notices.clear(), "before the tenant was told"),
+    (lambda s: setattr(s, "moved_at", 1.0), "before the tenant was notified"),
+    (lambda s: s.notices.clear(), "before the tenant was notified"),
     (lambda s: s.unclear.append(("a.n.1", 502)), "no clear answer"),
     (lambda s: s.runs.append(("a.q.1", "q", "crete")), "ran in crete"),
 ]
@@ -265,8 +267,8 @@
             seen = w.seen()
             assert seen["away", "q", "thessaly"] == seen["away", "n", "attica"] == 6
             assert not seen["away", "q", "attica"] and not seen["away", "n", "thessaly"]
-            assert {n.doc["Tenant"] for n in w.tenant.acknowledged} == {"yards", "mills"}
-            assert not seen_of(w).faults(must_be_told=False)  # requests of one always run where the other goes
+            assert {n.document["Tenant"] for n in w.tenant.acknowledged} == {"yards", "mills"}
+            assert not seen_of(w).faults(must_be_notified=False)  # requests of one always run where the other goes
         finally:
             await w.finish()
 
--- a/tests/support/evacuation_rig.py
+++ b/tests/support/evacuation_rig.py
@@ -13,7 +13,7 @@
 from tests.support.standins import LOG, plan
 from tests.region_policy.test_regions_system import ZONES, Day
 
-from archhatch.evacuation.notices import ID, SIGNATURE, sign
+from archhatch.evacuation.notices import ID_HEADER, SIGNATURE_HEADER, sign
 from archhatch.rpc import CallError
 from archhatch.store.node import StoreNode
 
@@ -46,12 +46,12 @@
     body: bytes
 
     @property
-    def doc(self):
+    def document(self):
         return orjson.loads(self.body)
 
 
 class TenantAddress:
-    """Where the tenant is told. mood: well, refusing (status 500) or silent (it never answers)."""
+    """Where the tenant is notified. mood: well, refusing (status 500) or silent (it never answers)."""
 
     def __init__(self, ip):
         self.ip, self.mood, self.notices, self.acknowledged = ip, "well", [], []
@@ -65,7 +65,7 @@
 
     async def serve(self, request):
         body = await request.read()
-        notice = Notice(time.monotonic(), request.headers[ID], request.headers[SIGNATURE], body)
+        notice = Notice(time.monotonic(), request.headers[ID_HEADER], request.headers[SIGNATURE_HEADER], body)
         self.notices.append(notice)
         if self.mood == "silent":
             await self.open.wait()
@@ -92,9 +92,9 @@
 
     async def add_core(self, i, first=True):
         await super().add_core(i, first)
-        duty = self.cores[i].evacuations
-        drained = duty._drained
-        duty._drained = lambda *args: self.moves_may_end and drained(*args)
+        readiness = self.cores[i].evacuations.readiness
+        is_drained = readiness.is_drained
+        readiness.is_drained = lambda *args: self.moves_may_end and is_drained(*args)
 
     async def add_store(self, i, first=True):
         settings = dataclasses.replace(self.node_settings("store", f"{self.net}.2.{i}", first), zone=STORE_ZONES[i - 1])
@@ -151,8 +151,8 @@
             )
 
     async def kill_holder(self):
-        """Kill the control node that holds the duty, and start it again with its disk."""
-        index = next(i for i, c in self.cores.items() if c.evacuations._term is not None and c.owns("plan"))
+        """Kill the control node that holds the lease, and start it again with its disk."""
+        index = next(i for i, c in self.cores.items() if c.evacuations.term is not None and c.owns("plan"))
         await self.kill(self.cores.pop(index))
         await self.add_core(index, first=False)
 
@@ -167,7 +167,7 @@
     notices: list = field(default_factory=list)  # (name, when), acknowledged ones
     moved_at: float = float("inf")  # when a replica of the target first ran a request of the tenant
 
-    def faults(self, must_be_told=True) -> list:
+    def faults(self, must_be_notified=True) -> list:
         """Broken promises, in words; nothing if there are none."""
         out = []
         ran = collections.Counter(request for request, kind, _ in self.runs if kind == "n")
@@ -180,9 +180,9 @@
             if not ran[request] and request not in unclear:
                 out.append(f"{request} was answered and never ran")
         out += [f"{request} had no clear answer: {status}" for request, status in self.unclear]
-        told = min((at for name, at in self.notices if name.endswith(".move")), default=float("inf"))
-        if must_be_told and self.moved_at < told:
-            out.append("requests ran in the target before the tenant was told")
+        notified_at = min((at for name, at in self.notices if name.endswith(".move")), default=float("inf"))
+        if must_be_notified and self.moved_at < notified_at:
+            out.append("requests ran in the target before the tenant was notified")
         out += [f"{request} ran in crete" for request, _, region in self.runs if region == "crete"]
         return out
 
