--- a/tests/share_group/test_recalls.py
+++ b/tests/share_group/test_recalls.py
@@ -30,7 +30,7 @@
         plan=SimpleNamespace(route=lambda host, path: "route"),
         engines=SimpleNamespace(all={}),
         placement=SimpleNamespace(
-            moves=SimpleNamespace(all=[SimpleNamespace(settling=True)]), leaves=lambda route, zone: zone == "z1"
+            moves=SimpleNamespace(all=[SimpleNamespace(is_settling=True)]), is_leaving=lambda route, zone: zone == "z1"
         ),
         evacuation=SimpleNamespace(leads_elsewhere=lambda name: name in elsewhere),
     )
