--- a/archhatch/simulation/chain.py
+++ b/archhatch/simulation/chain.py
@@ -9,19 +9,24 @@
 
 from dataclasses import dataclass, field
 
-from .history import Attempt, Change, Form, History, Outcome, Read
+from ..exceptions import ArchhatchError
+from .history import Attempt, Change, ChangeMethod, History, Outcome, Read
 
+MAX_PARTIAL_CHAINS = 2000  # tried in one search: beyond it, no chain is taken to fit
 
-MOST_TRIED = 2000  # beginnings of chains: beyond it, none is taken to fit
 
-
-class BrokenChainError(Exception):
-    """The changes that were seen in force can't stand in one chain."""
+class BrokenChainError(ArchhatchError):
+    """The changes that were seen in force do not form one chain."""
 
 
 @dataclass
-class Sends:
-    """All sendings of one change."""
+class ChangeAttempts:
+    """All attempts to send one change.
+
+    Attributes:
+        change: The change.
+        attempts: Its attempts, in the order in which they were sent.
+    """
 
     change: Change
     attempts: list[Attempt] = field(default_factory=list)
@@ -29,99 +34,142 @@
     @property
     def first_at(self) -> float:
         """When it was first sent."""
-        return min(a.sent_at for a in self.attempts)
+        return min(attempt.sent_at for attempt in self.attempts)
 
     @property
     def acknowledged_at(self) -> float | None:
-        """When it was first acknowledged."""
-        return min((a.answered_at for a in self.attempts if a.outcome is Outcome.ACKNOWLEDGED), default=None)
+        """When it was first acknowledged; None if it never was."""
+        moments = [
+            attempt.answered_at
+            for attempt in self.attempts
+            if attempt.outcome is Outcome.ACKNOWLEDGED and attempt.answered_at is not None
+        ]
+        return min(moments, default=None)
 
     def refusals(self) -> list[Attempt]:
-        """The attempts that were answered with a clear no."""
-        return [a for a in self.attempts if a.outcome in (Outcome.CONFLICT, Outcome.INVALID)]
+        """Returns the attempts that were refused for sure."""
+        return [attempt for attempt in self.attempts if attempt.outcome in (Outcome.CONFLICT, Outcome.INVALID)]
 
 
-def sends_by_number(history: History) -> dict[int, Sends]:
-    """The sendings of each change."""
-    out: dict[int, Sends] = {}
+def attempts_by_change(history: History) -> dict[int, ChangeAttempts]:
+    """Returns the attempts of each change, by the change's number.
+
+    Args:
+        history: What the clients did.
+    """
+    by_change: dict[int, ChangeAttempts] = {}
     for attempt in history.attempts:
-        out.setdefault(attempt.change.number, Sends(attempt.change)).attempts.append(attempt)
-    return out
+        change = attempt.change
+        by_change.setdefault(change.number, ChangeAttempts(change)).attempts.append(attempt)
+    return by_change
 
 
 class Chain:
-    """The changes in force, oldest first. Position 0 stands for the time before the first one."""
+    """The changes in force. Position 0 of the chain stands for the time before the first one.
+
+    Attributes:
+        sends: The attempts of each change, in force or not, by the change's number.
+        evident: The changes that were in force for sure, by revision.
+        changes: The changes in force, oldest first.
+        position: The position of each revision in the chain.
 
-    def __init__(self, history: History):
-        self.sends = sends_by_number(history)
-        self._read_marks = {m for read in history.reads for m in read.marks}
+    Raises:
+        BrokenChainError: No chain holds all changes that were in force for sure.
+    """
+
+    def __init__(self, history: History) -> None:
+        self.sends = attempts_by_change(history)
+        self._read_marks = {mark for read in history.reads for mark in read.marks}
         self.evident = self._find_evident(history.reads)
-        self.changes = self._walk()
+        self.changes = self._find_chain()
         self.position = {change.revision: at for at, change in enumerate(self.changes, start=1)} | {0: 0}
         self._contents = self._replay()
 
     def _find_evident(self, reads: list[Read]) -> list[Change]:
-        found = {s.change.number: s.change for s in self.sends.values() if s.acknowledged_at is not None}
-        by_mark = {s.change.mark: s.change for s in self.sends.values()}
+        found = {
+            sends.change.number: sends.change for sends in self.sends.values() if sends.acknowledged_at is not None
+        }
+        by_mark = {sends.change.mark: sends.change for sends in self.sends.values()}
         for read in reads:
             if read.answered_at is None or not read.revision:
                 continue
-            source = [by_mark[m] for m in read.marks if m in by_mark and by_mark[m].revision == read.revision]
-            if not source:
+            sources = [by_mark[mark] for mark in read.marks if mark in by_mark]
+            sources = [change for change in sources if change.revision == read.revision]
+            if not sources:
                 raise BrokenChainError(
                     f"revision {read.revision} was read with {read.marks}, which nobody sent under it"
                 )
-            for change in source:
+            for change in sources:
                 found[change.number] = change
-        return sorted(found.values(), key=lambda c: c.revision)
+        return sorted(found.values(), key=lambda change: change.revision)
 
-    def _walk(self) -> list[Change]:
-        """The chain up to the newest change that was seen; of several that may be, one that holds all that were."""
+    def _find_chain(self) -> list[Change]:
+        """Searches, from the newest evident change backwards, a chain that holds all evident changes."""
         if not self.evident:
             return []
         wanted = {change.number for change in self.evident}
         best: list[Change] = []
-        open_ends = [[self.evident[-1]]]
-        for _ in range(MOST_TRIED):
-            if not open_ends:
+        partial_chains = [[self.evident[-1]]]
+        for _ in range(MAX_PARTIAL_CHAINS):
+            if not partial_chains:
                 break
-            line = open_ends.pop()
-            if line[-1].match == 0:
-                if wanted <= {change.number for change in line}:
-                    return line[::-1]
-                best = best or line[::-1]
-            open_ends += [[*line, before] for before in self._before(line[-1])]
-        missing = [c.number for c in self.evident if c not in best]
+            partial = partial_chains.pop()
+            oldest = partial[-1]
+            if oldest.match == 0:
+                if wanted <= {change.number for change in partial}:
+                    return partial[::-1]
+                best = best or partial[::-1]
+            partial_chains += [[*partial, before] for before in self._candidates_before(oldest)]
+        missing = [change.number for change in self.evident if change not in best]
+        nearest = [f"{change.number}: {change.revision} on {change.match}" for change in best]
         raise BrokenChainError(
-            f"changes {missing} were in force, and no chain holds them; the nearest one has "
-            f"{[f'{c.number}: {c.revision} on {c.match}' for c in best]}"
+            f"changes {missing} were in force, and no chain holds them; the nearest one has {nearest}"
         )
 
-    def _before(self, change: Change) -> list[Change]:
-        """What may have come right before a change, the likeliest last."""
-        maybe = [s.change for s in self.sends.values() if s.change.revision == change.match and s.change.valid]
-        known = [c for c in self.evident if c.revision == change.match]
-        return known or sorted(maybe, key=lambda c: (not self.sends[c.number].refusals(), c.mark in self._read_marks))
-
-    def _replay(self) -> dict[int, tuple]:
-        contents, now = {0: ()}, ()
+    def _candidates_before(self, change: Change) -> list[Change]:
+        """What may have come right before a change, the likeliest last: the search takes that one first."""
+        evident = [before for before in self.evident if before.revision == change.match]
+        if evident:
+            return evident
+        sent = [sends.change for sends in self.sends.values()]
+        possible = [before for before in sent if before.revision == change.match and before.is_valid]
+        return sorted(possible, key=self._likelihood)
+
+    def _likelihood(self, change: Change) -> tuple[bool, bool]:
+        """Sort key: a change that nobody refused is likelier in force, and then one whose mark was read."""
+        was_never_refused = not self.sends[change.number].refusals()
+        return was_never_refused, change.mark in self._read_marks
+
+    def _replay(self) -> dict[int, tuple[str, ...]]:
+        marks: tuple[str, ...] = ()
+        contents = {0: marks}
         for change in self.changes:
-            now = apply_change(now, change)
-            contents[change.revision] = now
+            marks = apply_change(marks, change)
+            contents[change.revision] = marks
         return contents
 
-    def content(self, revision: int) -> tuple | None:
-        """The services of a revision; None if it never was in force."""
-        return self._contents.get(revision)
+    def content(self, revision: int | None) -> tuple[str, ...] | None:
+        """Returns the services of a revision; None if it never was in force."""
+        return None if revision is None else self._contents.get(revision)
 
     def after(self, revision: int) -> Change | None:
-        """The change that followed a revision."""
-        at = self.position[revision]
-        return self.changes[at] if at < len(self.changes) else None
+        """Returns the change that followed a revision; None for the newest one."""
+        position = self.position[revision]
+        return self.changes[position] if position < len(self.changes) else None
+
+
+def apply_change(marks: tuple[str, ...], change: Change) -> tuple[str, ...]:
+    """Returns the services after a change, sorted.
 
+    >>> apply_change(("a",), Change(1, ChangeMethod.PATCH, revision=2, match=1, marks=("c1",)))
+    ('a', 'c1')
+    >>> apply_change(("a",), Change(1, ChangeMethod.PUT, revision=2, match=1, marks=("c1",)))
+    ('c1',)
 
-def apply_change(marks: tuple, change: Change) -> tuple:
-    """The services after a change, sorted."""
-    if change.form is Form.WHOLE:
+    Args:
+        marks: The services before it.
+        change: The change.
+    """
+    if change.method is ChangeMethod.PUT:
         return tuple(sorted(change.marks))
     return tuple(sorted({*marks, *change.marks}))
--- a/archhatch/simulation/checker.py
+++ b/archhatch/simulation/checker.py
@@ -1,20 +1,21 @@
-"""The judge of a history. It knows the rules of the users' pages and nothing of the code."""
+"""Judges a history by the rules of the users' pages; it knows nothing of the code under test."""
 
 from __future__ import annotations
 
 import enum
 from collections import defaultdict
+from collections.abc import Callable
 from dataclasses import dataclass
 
-from .chain import BrokenChainError, Chain, Sends
-from .history import Attempt, Calm, History, Outcome
+from .chain import BrokenChainError, Chain, ChangeAttempts
+from .history import Attempt, Change, History, Outcome, SettledSpan
 
-
-LONGEST_GAP_S = 2.5  # between two sendings of one who goes on trying
+MAX_RETRY_GAP_S = 2.5  # between two attempts of a client that goes on trying; a longer one means that it gave up
+MAX_ATTEMPTS_TEXT = 400  # characters of the attempts in a violation, so that it stays readable
 
 
 class Rule(enum.Enum):
-    """What a history can break."""
+    """What a history can break. The names stand in the command's output."""
 
     CHAIN = "the changes in force form one chain, and nothing acknowledged is lost"
     CONTENT = "a reading shows what was sent under its number"
@@ -23,7 +24,7 @@
     IN_FORCE = "what was refused, or is invalid, is never in force"
     REFUSED = "a valid change on the current version is not refused"
     FINAL = "the configuration comes when it is read back at the end"
-    BACK = "a reader's versions never go back in one life"
+    BACK = "a reader's versions never go back in one incarnation"
     LEASE = "a term of a lease has one holder"
     FRESH = "a reader has what was acknowledged ConvergeMs ago while the group is settled"
     AVAILABLE = "a settled group answers within AckTimeoutMs"
@@ -31,7 +32,12 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """One broken rule, and how."""
+    """One broken rule.
+
+    Attributes:
+        rule: The rule.
+        why: What broke it, with the moments.
+    """
 
     rule: Rule
     why: str
@@ -41,32 +47,43 @@
 
 
 def check(history: History) -> list[Violation]:
-    """All that a history breaks; empty if it keeps the rules."""
-    found = _check_readers(history) + _check_leases(history) + _check_last(history)
+    """Judges a history.
+
+    Args:
+        history: What the clients did and saw.
+
+    Returns:
+        All that it breaks; empty if it keeps the rules.
+    """
+    violations = _check_readers(history) + _check_leases(history) + _check_final_read(history)
     try:
         chain = Chain(history)
-    except BrokenChainError as broken:
-        return found + [Violation(Rule.CHAIN, str(broken))]
-    found += _check_one_each(chain) + _check_force(chain)
-    found += _check_content(history, chain) or _check_order(history, chain)
-    if not any(v.rule in (Rule.ORDER, Rule.CONTENT) for v in found):
-        found += _check_refusals(history, chain) + _check_available(history, chain) + _check_fresh(history, chain)
-    return found
+    except BrokenChainError as error:
+        return [*violations, Violation(Rule.CHAIN, str(error))]
+    violations += _check_chain_is_unique(chain) + _check_in_force(chain)
+    violations += _check_content(history, chain) or _check_order(history, chain)
+    if any(violation.rule in (Rule.ORDER, Rule.CONTENT) for violation in violations):
+        return violations  # the other rules go by the positions of reads, which say nothing then
+    violations += _check_refusals(history, chain)
+    violations += _check_available(history, chain)
+    violations += _check_fresh(history, chain)
+    return violations
 
 
 def _check_readers(history: History) -> list[Violation]:
-    newest: dict[tuple, int] = {}
-    out = []
-    for seen in history.seen:
-        key = (seen.reader, seen.incarnation)
-        if seen.revision < newest.get(key, 0):
-            out.append(Violation(Rule.BACK, f"{seen.reader} has {seen.revision} after {newest[key]} at {seen.at:.3f}"))
-        newest[key] = max(seen.revision, newest.get(key, 0))
-    return out
+    newest: dict[tuple[str, int], int] = {}
+    violations = []
+    for held in history.held_revisions:
+        key = (held.reader, held.incarnation)
+        if held.revision < newest.get(key, 0):
+            why = f"{held.reader} has {held.revision} after {newest[key]} at {held.at:.3f}"
+            violations.append(Violation(Rule.BACK, why))
+        newest[key] = max(held.revision, newest.get(key, 0))
+    return violations
 
 
 def _check_leases(history: History) -> list[Violation]:
-    holders = defaultdict(set)
+    holders: defaultdict[tuple[str, int], set[str]] = defaultdict(set)
     for grant in history.grants:
         holders[grant.run, grant.term].add(grant.holder)
     return [
@@ -76,212 +93,236 @@
     ]
 
 
-def _check_last(history: History) -> list[Violation]:
-    last = [read for read in history.reads if read.last]
-    if last and all(read.answered_at is None for read in last):
+def _check_final_read(history: History) -> list[Violation]:
+    final = [read for read in history.reads if read.is_final]
+    if final and all(read.answered_at is None for read in final):
         return [Violation(Rule.FINAL, "no reading at the end was answered")]
     return []
 
 
-def _check_one_each(chain: Chain) -> list[Violation]:
-    out = []
-    for what, key in (("revision", lambda c: c.revision), ("version to build on", lambda c: c.match)):
-        groups = defaultdict(list)
-        for change in chain.evident:
-            groups[key(change)].append(change.number)
-        out += [
-            Violation(Rule.CHAIN, f"changes {numbers} were all in force with one {what}, {value}")
-            for value, numbers in groups.items()
-            if len(numbers) > 1
-        ]
-    return out
+def _check_chain_is_unique(chain: Chain) -> list[Violation]:
+    return [
+        *_check_unique(chain, "revision", lambda change: change.revision),
+        *_check_unique(chain, "version to build on", lambda change: change.match),
+    ]
+
 
+def _check_unique(chain: Chain, what: str, key: Callable[[Change], int]) -> list[Violation]:
+    groups: defaultdict[int, list[int]] = defaultdict(list)
+    for change in chain.evident:
+        groups[key(change)].append(change.number)
+    return [
+        Violation(Rule.CHAIN, f"changes {numbers} were all in force with one {what}, {value}")
+        for value, numbers in groups.items()
+        if len(numbers) > 1
+    ]
 
-def _check_force(chain: Chain) -> list[Violation]:
-    out = []
+
+def _check_in_force(chain: Chain) -> list[Violation]:
+    violations = []
     for change in chain.changes:
-        if not change.valid:
-            out.append(Violation(Rule.IN_FORCE, f"change {change.number} is invalid and in force"))
+        if not change.is_valid:
+            violations.append(Violation(Rule.IN_FORCE, f"change {change.number} is invalid and in force"))
         for refusal in chain.sends[change.number].refusals():
-            out.append(
-                Violation(
-                    Rule.IN_FORCE,
-                    f"change {change.number} (revision {change.revision} on {change.match}) "
-                    f"is in force, and {refusal.node} answered {refusal.outcome.value} at "
-                    f"{refusal.answered_at:.3f} to what was sent at {refusal.sent_at:.3f}",
-                )
+            why = (
+                f"change {change.number} (revision {change.revision} on {change.match}) "
+                f"is in force, and {refusal.node} answered {refusal.outcome.value} at "
+                f"{refusal.answered_at:.3f} to what was sent at {refusal.sent_at:.3f}"
             )
-    return out
+            violations.append(Violation(Rule.IN_FORCE, why))
+    return violations
 
 
 def _check_content(history: History, chain: Chain) -> list[Violation]:
-    out = []
+    violations = []
     for read in history.reads:
-        if read.answered_at is not None and chain.content(read.revision) != tuple(sorted(read.marks)):
-            out.append(
-                Violation(
-                    Rule.CONTENT,
-                    f"{read.node} told revision {read.revision} with {read.marks} instead of "
-                    f"{chain.content(read.revision)} at {read.answered_at:.3f}",
-                )
+        if read.answered_at is None:
+            continue
+        expected = chain.content(read.revision)
+        if expected != tuple(sorted(read.marks)):
+            why = (
+                f"{read.node} told revision {read.revision} with {read.marks} instead of "
+                f"{expected} at {read.answered_at:.3f}"
             )
-    return out
+            violations.append(Violation(Rule.CONTENT, why))
+    return violations
 
 
 @dataclass(frozen=True)
 class _Operation:
-    """Something that took effect between two moments, at a position of the chain."""
+    """A read or an acknowledged change: it took effect between two moments, at a position of the chain."""
 
     start: float
     end: float
     position: int
-    writes: bool
+    is_write: bool
     name: str
 
 
 def _operations(history: History, chain: Chain) -> list[_Operation]:
-    out = [
-        _Operation(r.sent_at, r.answered_at, chain.position[r.revision], False, f"the reading at {r.node}")
-        for r in history.reads
-        if r.answered_at is not None
-    ]
+    """The operations by their end."""
+    operations = []
+    for read in history.reads:
+        if read.answered_at is not None and read.revision is not None:
+            position = chain.position[read.revision]
+            name = f"the reading at {read.node}"
+            operations.append(_Operation(read.sent_at, read.answered_at, position, False, name))
     for change in chain.changes:
         sends = chain.sends[change.number]
         if sends.acknowledged_at is not None:
-            out.append(
-                _Operation(
-                    sends.first_at,
-                    sends.acknowledged_at,
-                    chain.position[change.revision],
-                    True,
-                    f"change {change.number}",
-                )
-            )
-    return sorted(out, key=lambda o: o.end)
+            position = chain.position[change.revision]
+            name = f"change {change.number}"
+            operations.append(_Operation(sends.first_at, sends.acknowledged_at, position, True, name))
+    return sorted(operations, key=lambda operation: operation.end)
 
 
-class _Floor:
-    """The newest position that was known to be in force at a moment."""
+class _KnownPosition:
+    """The newest position that was known to be in force at a moment.
 
-    def __init__(self, operations: list[_Operation]):
-        self._steps: list[tuple] = [(float("-inf"), 0)]
+    Args:
+        operations: The operations by their end.
+    """
+
+    def __init__(self, operations: list[_Operation]) -> None:
+        self._steps: list[tuple[float, int]] = [(float("-inf"), 0)]
         for operation in operations:
-            if operation.position > self._steps[-1][1]:
+            newest = self._steps[-1][1]
+            if operation.position > newest:
                 self._steps.append((operation.end, operation.position))
 
     def at(self, moment: float) -> int:
-        """The position; ends at the very moment don't count."""
+        """Returns the position; operations that end at the very moment do not count."""
         return max(position for end, position in self._steps if end < moment)
 
 
 def _check_order(history: History, chain: Chain) -> list[Violation]:
-    operations, out = _operations(history, chain), []
-    floor = _Floor(operations)
-    for op in operations:
-        least = floor.at(op.start) + op.writes
-        if op.position < least:
-            out.append(
-                Violation(
-                    Rule.ORDER,
-                    f"{op.name}, begun at {op.start:.3f}, took effect at position {op.position}, "
-                    f"though {least - op.writes} was reached before",
-                )
+    operations = _operations(history, chain)
+    known = _KnownPosition(operations)
+    violations = []
+    for operation in operations:
+        reached = known.at(operation.start)
+        least = reached + 1 if operation.is_write else reached
+        if operation.position < least:
+            why = (
+                f"{operation.name}, begun at {operation.start:.3f}, took effect at position {operation.position}, "
+                f"though {reached} was reached before"
             )
-        if op.position and not op.writes:
-            first_at = chain.sends[chain.changes[op.position - 1].number].first_at
-            if first_at > op.end:
-                out.append(
-                    Violation(Rule.UNSENT, f"{op.name} at {op.end:.3f} shows what was first sent at {first_at:.3f}")
-                )
-    return out
-
-
-def _current_throughout(chain: Chain, floor: _Floor, revision: int, start: float, end: float, but: int) -> bool:
-    """Whether a revision was surely the current one from start to end, changes of this number left aside."""
-    position = chain.position.get(revision)
-    if position is None or floor.at(start) < position:
+            violations.append(Violation(Rule.ORDER, why))
+        if operation.position and not operation.is_write:
+            first_at = chain.sends[chain.changes[operation.position - 1].number].first_at
+            if first_at > operation.end:
+                why = f"{operation.name} at {operation.end:.3f} shows what was first sent at {first_at:.3f}"
+                violations.append(Violation(Rule.UNSENT, why))
+    return violations
+
+
+def _was_current_throughout(chain: Chain, known: _KnownPosition, change: Change, start: float, end: float) -> bool:
+    """Whether the revision that a change builds on was surely the current one from start to end.
+
+    The change itself is left aside: that it took effect does not mean that it was rightly refused.
+    """
+    position = chain.position.get(change.match)
+    if position is None or known.at(start) < position:
         return False
-    following = chain.after(revision)
-    return following is None or following.number == but or chain.sends[following.number].first_at > end
+    following = chain.after(change.match)
+    if following is None or following.number == change.number:
+        return True
+    return chain.sends[following.number].first_at > end
 
 
 def _check_refusals(history: History, chain: Chain) -> list[Violation]:
-    """A copy that came before its version may be refused, and then every later copy must be: so the version must have
-    been the current one since the change was first sent."""
-    floor, out = _Floor(_operations(history, chain)), []
+    """Valid changes on the current version must not be refused.
+
+    A copy that came before its version may be refused, and then every later copy must be: so the version must have been
+    the current one since the change was first sent.
+    """
+    known = _KnownPosition(_operations(history, chain))
+    violations = []
     for sends in chain.sends.values():
         change = sends.change
-        for attempt in sends.refusals() if change.valid else []:
-            span = sends.first_at, attempt.answered_at
-            if _current_throughout(chain, floor, change.match, *span, but=change.number):
-                out.append(
-                    Violation(
-                        Rule.REFUSED,
-                        f"change {change.number} on {change.match}, which was current, got "
-                        f"{attempt.outcome.value} from {attempt.node} at {attempt.answered_at:.3f}",
-                    )
-                )
-    return out
+        if not change.is_valid:
+            continue
+        for attempt in sends.refusals():
+            answered_at = attempt.answered_at
+            if answered_at is None or not _was_current_throughout(chain, known, change, sends.first_at, answered_at):
+                continue
+            why = (
+                f"change {change.number} on {change.match}, which was current, got "
+                f"{attempt.outcome.value} from {attempt.node} at {answered_at:.3f}"
+            )
+            violations.append(Violation(Rule.REFUSED, why))
+    return violations
 
 
 def _check_available(history: History, chain: Chain) -> list[Violation]:
-    floor, out = _Floor(_operations(history, chain)), []
+    known = _KnownPosition(_operations(history, chain))
+    violations = []
     for sends in chain.sends.values():
-        calm = _calm_after(history, sends.first_at)
-        if calm is not None and _owed(chain, floor, sends, history.acknowledge_s):
-            out.append(
-                Violation(
-                    Rule.AVAILABLE,
-                    f"change {sends.change.number}, sent at {sends.first_at:.3f}, was not "
-                    f"acknowledged in {history.acknowledge_s} s; {len(sends.attempts)} attempts: "
-                    f"{_told(sends.attempts)}",
-                )
+        span = _settled_span_after(history, sends.first_at)
+        if span is not None and _is_overdue(chain, known, sends, history.acknowledge_s):
+            why = (
+                f"change {sends.change.number}, sent at {sends.first_at:.3f}, was not "
+                f"acknowledged in {history.acknowledge_s} s; {len(sends.attempts)} attempts: "
+                f"{_format_attempts(sends.attempts)}"
             )
-    return out
+            violations.append(Violation(Rule.AVAILABLE, why))
+    return violations
 
 
-def _calm_after(history: History, start: float) -> Calm | None:
-    """The calm span that holds a moment and all of AckTimeoutMs after it."""
-    for calm in history.calms:
-        if calm.start <= start and start + history.acknowledge_s <= calm.end:
-            return calm
+def _settled_span_after(history: History, start: float) -> SettledSpan | None:
+    """The settled span that holds a moment and all of AckTimeoutMs after it."""
+    for span in history.settled_spans:
+        if span.start <= start and start + history.acknowledge_s <= span.end:
+            return span
     return None
 
 
-def _owed(chain: Chain, floor: _Floor, sends: Sends, within: float) -> bool:
+def _is_overdue(chain: Chain, known: _KnownPosition, sends: ChangeAttempts, within_s: float) -> bool:
     """Whether a change that had to be acknowledged in time was not."""
-    change, start = sends.change, sends.first_at
-    done = sends.acknowledged_at
-    if not change.valid or (done is not None and done <= start + within):
+    change = sends.change
+    deadline = sends.first_at + within_s
+    acknowledged_at = sends.acknowledged_at
+    if not change.is_valid or (acknowledged_at is not None and acknowledged_at <= deadline):
         return False
-    if done is None and max(a.sent_at for a in sends.attempts) < start + within - LONGEST_GAP_S:
+    last_sent_at = max(attempt.sent_at for attempt in sends.attempts)
+    if acknowledged_at is None and last_sent_at < deadline - MAX_RETRY_GAP_S:
         return False  # its sender gave up
-    return _current_throughout(chain, floor, change.match, start, start + within, but=change.number)
+    return _was_current_throughout(chain, known, change, sends.first_at, deadline)
 
 
 def _check_fresh(history: History, chain: Chain) -> list[Violation]:
-    """Readers tell what they hold often enough to be judged by that alone; a new life has ConvergeMs to catch up."""
-    floor, out, begun = _Floor(_operations(history, chain)), [], {}
-    for seen in history.seen:
-        since = begun.setdefault((seen.reader, seen.incarnation), seen.at)
-        then = seen.at - history.converge_s
-        calm = any(c.start <= then and seen.at <= c.end for c in history.calms)
-        position = chain.position.get(seen.revision)
-        if calm and since <= then and position is not None and position < floor.at(then):
-            out.append(
-                Violation(
-                    Rule.FRESH,
-                    f"{seen.reader} holds revision {seen.revision} at {seen.at:.3f}, though "
-                    f"position {floor.at(then)} was reached before {then:.3f}",
-                )
+    """Readers must hold what was acknowledged ConvergeMs ago.
+
+    They report what they hold often enough to be judged by that alone; a new incarnation has ConvergeMs to catch up.
+    """
+    known = _KnownPosition(_operations(history, chain))
+    started: dict[tuple[str, int], float] = {}
+    violations = []
+    for held in history.held_revisions:
+        started_at = started.setdefault((held.reader, held.incarnation), held.at)
+        then = held.at - history.converge_s
+        is_settled = any(span.start <= then and held.at <= span.end for span in history.settled_spans)
+        position = chain.position.get(held.revision)
+        if not is_settled or started_at > then or position is None:
+            continue
+        expected = known.at(then)
+        if position < expected:
+            why = (
+                f"{held.reader} holds revision {held.revision} at {held.at:.3f}, though "
+                f"position {expected} was reached before {then:.3f}"
             )
-    return out
+            violations.append(Violation(Rule.FRESH, why))
+    return violations
+
 
+def _format_attempts(attempts: list[Attempt]) -> str:
+    return ", ".join(f"{attempt.node} {attempt.outcome.value}" for attempt in attempts)[:MAX_ATTEMPTS_TEXT]
 
-def _told(attempts: list[Attempt]) -> str:
-    return ", ".join(f"{a.node} {a.outcome.value}" for a in attempts if a.outcome is not None)[:400]
 
+def count_acknowledged(history: History) -> int:
+    """Returns how many changes were acknowledged: a run without any shows nothing.
 
-def acknowledged(history: History) -> int:
-    """How many changes were acknowledged: a run without any shows nothing."""
-    return len({a.change.number for a in history.attempts if a.outcome is Outcome.ACKNOWLEDGED})
+    Args:
+        history: What the clients did and saw.
+    """
+    return len({attempt.change.number for attempt in history.attempts if attempt.outcome is Outcome.ACKNOWLEDGED})
--- a/archhatch/simulation/control_node.py
+++ b/archhatch/simulation/control_node.py
@@ -12,8 +12,8 @@
 from ..runtime.settings import check_settings
 from ..rpc import Handlers
 from .deployment import Deployment
-from .history import Seen
-from .loop import Life, VirtualClock
+from .history import HeldRevision
+from .loop import Incarnation, VirtualClock
 from .machine import Machine
 from .operators import CALL_PORT, HTTP_PORT
 
@@ -94,9 +94,9 @@
 class SimulatedControlNode:
     """One life of a control node."""
 
-    def __init__(self, machine: Machine, incarnation: Life, deployment: Deployment):
+    def __init__(self, machine: Machine, incarnation: Incarnation, deployment: Deployment):
         place = machine.network.at(machine.host, incarnation)
-        seeds = deployment.first_hosts[:SEEDS] if machine.bootstrap else deployment.some_hosts(SEEDS)
+        seeds = deployment.first_hosts[:SEEDS] if machine.bootstrap else deployment.sample_hosts(SEEDS)
         settings = simulated_settings(deployment, machine.host, seeds, machine.bootstrap)
         log = QuietLog(deployment.loop.faults)
         self.node = ControlNode(settings, log, VirtualClock(machine.loop), place, machine.disk)
@@ -112,30 +112,32 @@
 
     def __init__(self, deployment: Deployment, name: str):
         self.deployment, self.name = deployment, name
-        self._lives = 0
-        self._life: Life | None = None
+        self._incarnation_count = 0
+        self._incarnation: Incarnation | None = None
         self._rng = deployment.stream(name)
 
     def start(self) -> None:
         """Begin a new life, with nothing in memory."""
         loop = self.deployment.loop
-        if self._life is not None:
-            loop.end(self._life)
-        self._lives += 1
-        self._life = Life(f"{self.name}#{self._lives}")
-        self.deployment.other_lives.append(self._life)
-        loop.spawn(self._life, self._run(self._lives))
+        if self._incarnation is not None:
+            loop.end(self._incarnation)
+        self._incarnation_count += 1
+        self._incarnation = Incarnation(f"{self.name}#{self._incarnation_count}")
+        self.deployment.other_incarnations.append(self._incarnation)
+        loop.spawn(self._incarnation, self._run(self._incarnation_count))
 
     async def _run(self, number: int) -> None:
         deployment, counters, state_board = self.deployment, Counters(), StateBoard()
-        settings = simulated_settings(deployment, self.name, deployment.some_hosts(SEEDS), False)
-        pool = deployment.network.at(self.name, self._life).pool(counters)
+        settings = simulated_settings(deployment, self.name, deployment.sample_hosts(SEEDS), False)
+        pool = deployment.network.at(self.name, self._incarnation).pool(counters)
         card = {"id": f"{self.name}-{number}", "klass": "edge", "name": self.name, "ip": self.name, "zone": "z"}
         reader = ConfigWatcher(settings, card, pool, state_board, VirtualClock(deployment.loop), counters)
         task = asyncio.ensure_future(reader.run())
         while not task.done():
             plan = reader.shards.get(PLAN, {}).get("plan") or {"Revision": 0}
-            deployment.history.seen.append(Seen(self.name, number, deployment.loop.time(), plan["Revision"]))
+            deployment.history.held_revisions.append(
+                HeldRevision(self.name, number, deployment.loop.time(), plan["Revision"])
+            )
             await state_board.wait_for_change("parts", state_board.version("parts"), SAMPLE_S)
 
     async def run(self, end: float) -> None:
--- a/archhatch/simulation/deployment.py
+++ b/archhatch/simulation/deployment.py
@@ -7,8 +7,8 @@
 
 from .disk import SimulatedDisk
 from .faults import STEADY, WAIT_S, Fault, FaultKind, Shape
-from .history import Calm, History, Outcome
-from .loop import Life, VirtualLoop
+from .history import SettledSpan, History, Outcome
+from .loop import Incarnation, VirtualLoop
 from .machine import Machine
 from .network import SimulatedNetwork, Weather
 
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Happening:
+class FaultEvent:
     """The beginning or the end of a fault, as it came."""
 
     at: float
@@ -36,10 +36,10 @@
         self.network = SimulatedNetwork(self.loop, self.stream("network"))
         self.history = History()
         self._choices = self.stream("choices")
-        self.happenings: list[Happening] = []
+        self.fault_events: list[FaultEvent] = []
         self.all_machines: list[Machine] = []
         self.machines = [self._make_machine() for _ in range(shape.machines)]
-        self.other_lives: list[Life] = []  # of processes that are no machine of the group
+        self.other_incarnations: list[Incarnation] = []  # of processes that are no machine of the group
         self._waiting: list[Fault] = []
         self._standing: list[Fault] = []
         self._rough = 0
@@ -65,7 +65,7 @@
         """The hosts that found the group at the first start."""
         return [machine.host for machine in self.all_machines[: self.shape.founders]]
 
-    def some_hosts(self, count: int) -> list[str]:
+    def sample_hosts(self, count: int) -> list[str]:
         """Some of the hosts, as an operator's list may have them."""
         return self._choices.sample(self.hosts, min(count, len(self.hosts)))
 
@@ -85,11 +85,11 @@
             self._waiting.remove(fault)
             self._begin(fault)
 
-    def troubled(self) -> bool:
+    def has_faults(self) -> bool:
         """Whether a fault stands, or waits."""
         return bool(self._standing or self._waiting)
 
-    def noted(self, outcome: Outcome) -> None:
+    def on_outcome(self, outcome: Outcome) -> None:
         """A client was answered: faults that wait for an acknowledgement come now."""
         if outcome is Outcome.ACKNOWLEDGED:
             for fault in list(self._waiting):
@@ -98,13 +98,13 @@
     def _begin(self, fault: Fault) -> None:
         machine = self.machines[fault.slot]
         self._standing.append(fault)
-        self.happenings.append(Happening(self.loop.time(), fault, True))
+        self.fault_events.append(FaultEvent(self.loop.time(), fault, True))
         end = _BEGIN[fault.kind](self, fault, machine)
         self.loop.call_outside(fault.duration, self._end, fault, end)
 
     def _end(self, fault: Fault, end) -> None:
         self._standing.remove(fault)
-        self.happenings.append(Happening(self.loop.time(), fault, False))
+        self.fault_events.append(FaultEvent(self.loop.time(), fault, False))
         end()
 
     def _down(self, fault: Fault, machine: Machine):
@@ -186,16 +186,16 @@
 
     # -- spans in which the group was settled
 
-    def calms(self, end: float) -> list[Calm]:
+    def settled_spans(self, end: float) -> list[SettledSpan]:
         """Spans that begin ContactMs after a beginning or an end of a fault, and end at the next one."""
         out, standing, since = [], [], 0.0
-        marks = [(h.at, h) for h in self.happenings] + [(end, None)]
+        marks = [(h.at, h) for h in self.fault_events] + [(end, None)]
         for at, happening in marks:
             start = since + self.shape.contact_s
             lost = {f.slot for f in standing}
             steady = all(f.kind in STEADY for f in standing) and len(lost) <= self.shape.tolerance
             if start < at and steady:
-                out.append(Calm(start, at))
+                out.append(SettledSpan(start, at))
             if happening is not None:
                 (standing.append if happening.begins else standing.remove)(happening.fault)
             since = at
@@ -204,7 +204,8 @@
     def shut(self) -> None:
         """Forget what is under way."""
         self.loop.shut(
-            [incarnation for machine in self.all_machines for incarnation in machine.lives] + self.other_lives
+            [incarnation for machine in self.all_machines for incarnation in machine.incarnations]
+            + self.other_incarnations
         )
 
 
--- a/archhatch/simulation/loop.py
+++ b/archhatch/simulation/loop.py
@@ -16,17 +16,19 @@
 import random
 from collections import deque
 
+from .disk import SimulatedDisk
+
 MOST_STEPS = 5_000_000  # handles in one run; beyond it something spins
 
 
 WALL_AT_START = 1_780_000_000.0  # the time of day when virtual time begins
 
 
-class SimulationStuck(Exception):
+class SimulationStuckError(Exception):
     """Nothing is left that could happen, or the same moment never ends."""
 
 
-class Life:
+class Incarnation:
     """One life of a simulated process."""
 
     def __init__(self, name: str):
@@ -35,15 +37,17 @@
         self.frozen = False
         self.held: list = []  # handles that wait for the thaw
         self.tasks: list = []  # kept, so that no task of a dead life is collected, and unwound, during the run
-        self.disk = None  # where the calls that it hands to an executor take their time
+        self.disk: SimulatedDisk | None = None  # where the calls that it hands to an executor take their time
         self.context = contextvars.Context()
-        self.context.run(CURRENT_LIFE.set, self)
+        self.context.run(CURRENT_INCARNATION.set, self)
 
     def __repr__(self) -> str:
-        return f"Life({self.name})"
+        return f"Incarnation({self.name})"
 
 
-CURRENT_LIFE: contextvars.ContextVar[Life | None] = contextvars.ContextVar("current_life", default=None)
+CURRENT_INCARNATION: contextvars.ContextVar[Incarnation | None] = contextvars.ContextVar(
+    "current_incarnation", default=None
+)
 _serials = itertools.count(1)
 
 
@@ -93,11 +97,11 @@
 
     def _make_task(self, loop, coro, context=None) -> asyncio.Task:
         task = _Task(coro, loop=loop, context=context)
-        incarnation = context.get(CURRENT_LIFE) if context is not None else CURRENT_LIFE.get()
+        incarnation = context.get(CURRENT_INCARNATION) if context is not None else CURRENT_INCARNATION.get()
         (self._pending if incarnation is None else incarnation.tasks).append(task)
         return task
 
-    def spawn(self, incarnation: Life, coro) -> asyncio.Task:
+    def spawn(self, incarnation: Incarnation, coro) -> asyncio.Task:
         """Run a coroutine as a task of a life."""
         return self.create_task(coro, context=incarnation.context.copy())
 
@@ -107,17 +111,17 @@
 
     # -- lives
 
-    def end(self, incarnation: Life) -> None:
+    def end(self, incarnation: Incarnation) -> None:
         """Drop all that a life would still do."""
         incarnation.alive = False
         incarnation.frozen = False
         incarnation.held.clear()
 
-    def freeze(self, incarnation: Life) -> None:
+    def freeze(self, incarnation: Incarnation) -> None:
         """Hold a life's handles back."""
         incarnation.frozen = incarnation.alive
 
-    def thaw(self, incarnation: Life) -> None:
+    def thaw(self, incarnation: Incarnation) -> None:
         """Let a frozen life go on with all that came due meanwhile."""
         incarnation.frozen = False
         self._ready.extend(incarnation.held)
@@ -133,10 +137,10 @@
                 self._run_handle(handle)
         self.steps += len(batch)
         if self.steps > MOST_STEPS:
-            raise SimulationStuck(f"{MOST_STEPS} steps until {self._now:.3f} s")
+            raise SimulationStuckError(f"{MOST_STEPS} steps until {self._now:.3f} s")
 
     def _run_handle(self, handle) -> None:
-        incarnation = handle._context.get(CURRENT_LIFE)
+        incarnation = handle._context.get(CURRENT_INCARNATION)
         if incarnation is None:
             handle._run()
         elif incarnation.frozen:
@@ -150,7 +154,7 @@
             heapq.heappop(scheduled)._scheduled = False
         if not self._ready and not self._stopping:
             if not scheduled:
-                raise SimulationStuck(f"nothing is left to happen at {self._now:.3f} s")
+                raise SimulationStuckError(f"nothing is left to happen at {self._now:.3f} s")
             self._now = max(self._now, scheduled[0]._when)
         while scheduled and scheduled[0]._when <= self._now:
             handle = heapq.heappop(scheduled)
@@ -161,7 +165,7 @@
         """The handles of a batch: those of one life in their order, the lives mixed by the seed."""
         queues: dict = {}
         for handle in batch:
-            queues.setdefault(handle._context.get(CURRENT_LIFE), deque()).append(handle)
+            queues.setdefault(handle._context.get(CURRENT_INCARNATION), deque()).append(handle)
         lines = list(queues.values())
         while len(lines) > 1:
             at = self._rng.randrange(len(lines))
@@ -175,7 +179,7 @@
 
     def run_in_executor(self, executor, func, *args) -> asyncio.Future:
         """Run a blocking call in virtual time: its effects on the disk come at their moments, its end at the last."""
-        incarnation, future = CURRENT_LIFE.get(), self.create_future()
+        incarnation, future = CURRENT_INCARNATION.get(), self.create_future()
         disk = incarnation.disk if incarnation is not None else None
         result, fault, took = None, None, 0.0
         if disk is not None:
--- a/archhatch/simulation/network.py
+++ b/archhatch/simulation/network.py
@@ -14,7 +14,7 @@
 import orjson
 
 from ..rpc import CallError, CallRefusedError
-from .loop import Life, VirtualLoop
+from .loop import Incarnation, VirtualLoop
 
 DONE, MALFORMED, NO_MACHINE, NO_CALL, FAULT = 1000, 2001, 2008, 2009, 5001
 SLOWNESS = (1, 1, 3, 12)  # links differ
@@ -55,7 +55,7 @@
         self._slowness: dict[tuple, int] = {}
         self._held: dict = defaultdict(list)
 
-    def at(self, host: str, incarnation: Life | None = None) -> HostNetwork:
+    def at(self, host: str, incarnation: Incarnation | None = None) -> HostNetwork:
         """The network as a life on a host sees it."""
         return HostNetwork(self, host, incarnation)
 
@@ -111,7 +111,7 @@
 class HostNetwork:
     """What a node gets as its network: pools of connections, and servers."""
 
-    def __init__(self, network: SimulatedNetwork, host: str, incarnation: Life | None):
+    def __init__(self, network: SimulatedNetwork, host: str, incarnation: Incarnation | None):
         self.network, self.host, self.incarnation = network, host, incarnation
 
     def pool(self, counters) -> SimulatedPool:
--- a/archhatch/simulation/operators.py
+++ b/archhatch/simulation/operators.py
@@ -11,7 +11,7 @@
 
 from ..rpc import CallError
 from .deployment import Deployment
-from .history import Attempt, Change, Form, Grant, Outcome, Read
+from .history import Attempt, Change, ChangeMethod, Grant, Outcome, Read
 
 HTTP_PORT, CALL_PORT = 8144, 7380
 SILENCE_S = 1.0
@@ -26,16 +26,16 @@
     services = [{"Name": mark} for mark in change.marks]
     routes = (
         []
-        if change.valid
+        if change.is_valid
         else [{"Name": "r", "HostName": "h", "PathPrefix": "/", "RouteClass": "idempotent", "Service": "unknown"}]
     )
-    if change.form is Form.ITEMS:
+    if change.method is ChangeMethod.PATCH:
         return orjson.dumps({"Revision": change.revision, "Upsert": {"ServiceTable": services, "RouteTable": routes}})
     return orjson.dumps({"Revision": change.revision, "RouteTable": routes, "ServiceTable": services})
 
 
 @dataclass(frozen=True)
-class Habits:
+class ClientBehavior:
     """How the clients of one run behave. Quiet days leave a node that missed something behind for longer."""
 
     operators: int
@@ -44,7 +44,7 @@
     faithful: float  # the chance to call the same node again
 
     @classmethod
-    def draw(cls, rng: random.Random) -> Habits:
+    def draw(cls, rng: random.Random) -> ClientBehavior:
         """Drawn by the seed."""
         pause, faithful = rng.choice((1.0, 1.0, 4.0, 10.0)), rng.choice((0.0, 0.5, 0.95))
         return cls(rng.choice((1, 2, 2)), rng.choice((0, 1, 3)), pause, faithful)
@@ -53,8 +53,8 @@
 class UpstreamClient:
     """Calls the HTTP entry of a node, as one outside the system does."""
 
-    def __init__(self, deployment: Deployment, name: str, habits: Habits):
-        self.deployment, self.name, self.habits = deployment, name, habits
+    def __init__(self, deployment: Deployment, name: str, behavior: ClientBehavior):
+        self.deployment, self.name, self.behavior = deployment, name, behavior
         self._favourite = ""
         self.rng = deployment.stream(name)
         self._pool = deployment.network.at(name).pool(None)
@@ -66,7 +66,7 @@
     def pick(self) -> str:
         """A node to call; it may be down, or cut off from others."""
         hosts = self.deployment.hosts
-        if self._favourite not in hosts or self.rng.random() >= self.habits.faithful:
+        if self._favourite not in hosts or self.rng.random() >= self.behavior.faithful:
             self._favourite = self.rng.choice(hosts)
         return self._favourite
 
@@ -89,34 +89,36 @@
 
 
 class Operator(UpstreamClient):
-    """Sends orders as the users' pages say. Numbers of changes come from one count for all operators of a run."""
+    """Sends changes as the users' pages say; all operators of a run number their changes by one count."""
 
-    def __init__(self, deployment: Deployment, name: str, habits: Habits, numbers: itertools.count, sent: list):
-        super().__init__(deployment, name, habits)
+    def __init__(
+        self, deployment: Deployment, name: str, behavior: ClientBehavior, numbers: itertools.count, sent: list
+    ):
+        super().__init__(deployment, name, behavior)
         self._numbers, self._sent = numbers, sent
         self.newest = 0  # the highest revision that this operator knows of
 
-    def make(self, match: int, revision: int | None = None, valid: bool = True) -> Change:
+    def make(self, match: int, revision: int | None = None, is_valid: bool = True) -> Change:
         """A change on top of a version."""
         number = next(self._numbers)
         extra = [f"x{self.rng.randrange(5)}" for _ in range(self.rng.randrange(3))]
-        form = Form.ITEMS if match and self.rng.random() < 0.5 else Form.WHOLE
+        method = ChangeMethod.PATCH if match and self.rng.random() < 0.5 else ChangeMethod.PUT
         marks = tuple(dict.fromkeys([f"c{number}", *extra]))
-        return Change(number, form, revision or match + self.rng.randint(1, 5), match, marks, valid)
+        return Change(number, method, revision or match + self.rng.randint(1, 5), match, marks, is_valid)
 
     async def attempt(self, change: Change, host: str) -> Outcome:
         """Send a change once."""
         attempt = Attempt(change, host, self.now())
         self.deployment.history.attempts.append(attempt)
         status, _ = await self.http(
-            host, change.form.value, "/api/config", {"If-Match": str(change.match)}, body_of(change)
+            host, change.method.value, "/api/config", {"If-Match": str(change.match)}, body_of(change)
         )
         attempt.outcome = _OUTCOMES.get(status, Outcome.UNCLEAR)
         attempt.answered_at = self.now() if status else None
         if attempt.outcome is Outcome.ACKNOWLEDGED:
             self.newest = max(self.newest, change.revision)
             self._sent.append(change)
-        self.deployment.noted(attempt.outcome)
+        self.deployment.on_outcome(attempt.outcome)
         return attempt.outcome
 
     async def send(self, change: Change, patience_s: float = 5.0) -> Outcome:
@@ -130,9 +132,9 @@
             await asyncio.sleep(pause * self.rng.uniform(0.7, 1.3))
             pause = min(LONGEST_PAUSE_S, pause * 2)
 
-    async def read(self, host: str | None = None, last: bool = False) -> Read:
+    async def read(self, host: str | None = None, is_final: bool = False) -> Read:
         """Read the configuration once."""
-        read = Read(host or self.pick(), self.now(), last=last)
+        read = Read(host or self.pick(), self.now(), is_final=is_final)
         self.deployment.history.reads.append(read)
         status, raw = await self.http(read.node, "GET", "/api/config", {}, b"")
         if status == 200:
@@ -168,7 +170,7 @@
         while self.now() < end:
             action = self.rng.choices([a for a, _ in actions], [w for _, w in actions])[0]
             await action()
-            await asyncio.sleep(self.rng.choice((0.0, 0.02, 0.3, 1.0)) * self.rng.random() * self.habits.pause)
+            await asyncio.sleep(self.rng.choice((0.0, 0.02, 0.3, 1.0)) * self.rng.random() * self.behavior.pause)
 
     async def order(self) -> None:
         """One change on the newest known version; a conflict is followed by a reading."""
@@ -217,21 +219,21 @@
 
     async def spoil(self) -> None:
         """An invalid configuration."""
-        await self.send(self.make(self.newest, valid=False), 1.0)
+        await self.send(self.make(self.newest, is_valid=False), 1.0)
 
 
 class Claimer(UpstreamClient):
     """A store that tries to get leases, by the calls of nodes."""
 
-    def __init__(self, deployment: Deployment, name: str, habits: Habits, runs: tuple = ("svc",)):
-        super().__init__(deployment, name, habits)
+    def __init__(self, deployment: Deployment, name: str, behavior: ClientBehavior, runs: tuple = ("svc",)):
+        super().__init__(deployment, name, behavior)
         self._runs = runs
 
     async def run(self, end: float) -> None:
         """Claim until a moment."""
         while self.now() < end:
             await self.claim(self.rng.choice(self._runs))
-            await asyncio.sleep(self.rng.uniform(0.05, 1.5) * self.habits.pause)
+            await asyncio.sleep(self.rng.uniform(0.05, 1.5) * self.behavior.pause)
 
     async def _do(self, run: str, name: str, args: dict) -> tuple:
         doc = {"part": f"of:{run}", "name": name, "args": args}
@@ -256,7 +258,7 @@
 
 def make_clients(deployment: Deployment) -> tuple[list[Operator], list[Claimer]]:
     """Operators, who know of each other's changes only by reading, and claimers."""
-    habits = Habits.draw(deployment.stream("habits"))
+    behavior = ClientBehavior.draw(deployment.stream("habits"))
     numbers, sent = itertools.count(1), []
-    operators = [Operator(deployment, f"operator-{at}", habits, numbers, sent) for at in range(habits.operators)]
-    return operators, [Claimer(deployment, f"store-{at}", habits) for at in range(habits.claimers)]
+    operators = [Operator(deployment, f"operator-{at}", behavior, numbers, sent) for at in range(behavior.operators)]
+    return operators, [Claimer(deployment, f"store-{at}", behavior) for at in range(behavior.claimers)]
--- a/archhatch/simulation/repair.py
+++ b/archhatch/simulation/repair.py
@@ -1,4 +1,4 @@
-"""How long the control group takes, after a loss, until it again bears the losses that FaultTolerance allows."""
+"""Measures how long the control group takes, after a loss, until it again tolerates the losses of FaultTolerance."""
 
 from __future__ import annotations
 
@@ -6,23 +6,33 @@
 import random
 from dataclasses import dataclass, replace
 
+from ..control.node import ControlNode
 from ..control.registers import SHARDS
 from .control_node import SimulatedControlNode
 from .deployment import Deployment
 from .faults import Fault, FaultKind
+from .loop import Incarnation
+from .machine import Machine
 from .runner import JOINED_S, Model, Settings
 
-LOOK_S = 0.05  # between two looks at the group
-LONGEST_S = 60.0  # a group that is not whole by then counts as never
+CHECK_INTERVAL_S = 0.05  # between two looks at the group
+MAX_REPAIR_S = 60.0  # a group that is not repaired by then counts as never repaired
 SETTLED_S = 2.0  # after the nodes have joined, before the loss
-DOWN_S = 2.0  # a machine that comes back is away for so long; an empty one comes as long after the old one
+DOWN_S = 2.0  # how long a machine is away; an empty one comes as long after the one that it replaces
+MAX_START_DELAY_S = 0.3  # machines start within this time of each other
 
 KINDS = (FaultKind.CRASH, FaultKind.POWER_LOSS, FaultKind.WIPE, FaultKind.REPLACE)
 
 
 @dataclass(frozen=True, slots=True)
 class Repair:
-    """The repair after one loss. after_start_s counts from the start of the machine that came back, or came instead."""
+    """The repair after one loss.
+
+    Attributes:
+        seed: The seed of the run.
+        kind: What was lost.
+        after_start_s: Seconds from the start of the machine that came back, or came instead; infinity for never.
+    """
 
     seed: int
     kind: FaultKind
@@ -30,54 +40,72 @@
 
 
 def measure(seed: int, kind: FaultKind, nodes: int = 3) -> Repair:
-    """Play one loss on a group at rest with no machine standing by, and look until it is whole again."""
+    """Causes one loss in a group at rest without a standby machine, and waits until the group is repaired.
+
+    Args:
+        seed: The seed of the run.
+        kind: What is lost; one of KINDS.
+        nodes: How many control nodes the group has.
+
+    Returns:
+        The repair with its duration in virtual time.
+    """
     shape = replace(Settings(Model.CONTROL, nodes).shape, machines=nodes)
 
-    def build(machine, incarnation):
+    def build(machine: Machine, incarnation: Incarnation) -> SimulatedControlNode:
         return SimulatedControlNode(machine, incarnation, deployment)
 
     deployment = Deployment(seed, shape, build)
-    before = random.getstate()
-    random.seed(f"{seed}/code")
+    random_state = random.getstate()
+    random.seed(f"{seed}/code")  # what the code under test draws
     try:
-        seconds = deployment.loop.run_until_complete(_lose_and_wait(deployment, seed, kind))
+        after_start_s = deployment.loop.run_until_complete(_lose_and_wait(deployment, kind))
     finally:
         deployment.shut()
-        random.setstate(before)
-    return Repair(seed, kind, seconds)
+        random.setstate(random_state)
+    return Repair(seed, kind, after_start_s)
 
 
-async def _lose_and_wait(deployment: Deployment, seed: int, kind: FaultKind) -> float:
+async def _lose_and_wait(deployment: Deployment, kind: FaultKind) -> float:
     loop = asyncio.get_running_loop()
     starts = deployment.stream("starts")
     for machine in deployment.machines:
-        deployment.loop.call_outside(starts.uniform(0.0, 0.3), machine.start)
+        deployment.loop.call_outside(starts.uniform(0.0, MAX_START_DELAY_S), machine.start)
     await asyncio.sleep(JOINED_S + SETTLED_S)
     slot = deployment.stream("loss").randrange(deployment.shape.founders)
-    deployment.schedule([Fault(kind, 0.0, DOWN_S, slot)])  # moments count from the scheduling
+    deployment.schedule([Fault(kind, 0.0, DOWN_S, slot)])  # a fault's moment counts from its scheduling
     await asyncio.sleep(DOWN_S)
-    back = loop.time()
-    while not whole(deployment):
-        if loop.time() - back > LONGEST_S:
+    started_at = loop.time()
+    while not is_repaired(deployment):
+        if loop.time() - started_at > MAX_REPAIR_S:
             return float("inf")
-        await asyncio.sleep(LOOK_S)
-    return loop.time() - back
+        await asyncio.sleep(CHECK_INTERVAL_S)
+    return loop.time() - started_at
 
 
-def whole(deployment: Deployment) -> bool:
-    """Whether every register's group, by its newest chosen state, would keep a majority that holds this state if any
-    FaultTolerance of its voters were lost."""
-    nodes = [machine.node.node for machine in deployment.machines if machine.running and machine.node is not None]
-    return all(_bears(shard, nodes, deployment.shape.tolerance) for shard in SHARDS)
+def is_repaired(deployment: Deployment) -> bool:
+    """Returns whether the group of every register tolerates the losses of FaultTolerance.
 
+    By the register's newest chosen state, any FaultTolerance of its voters may be lost, and a majority that holds this
+    state is left.
 
-def _bears(shard: str, nodes: list, losses: int) -> bool:
-    chosen = max(
-        (node.registers.known[shard] for node in nodes if shard in node.registers.known), key=_version, default=None
-    )
-    if chosen is None or chosen["prev"]:
+    Args:
+        deployment: A deployment of whole control nodes.
+    """
+    nodes = [
+        machine.node.node
+        for machine in deployment.machines
+        if machine.running and isinstance(machine.node, SimulatedControlNode)
+    ]
+    return all(_tolerates_losses(shard, nodes, deployment.shape.tolerance) for shard in SHARDS)
+
+
+def _tolerates_losses(shard: str, nodes: list[ControlNode], losses: int) -> bool:
+    known = [node.registers.known[shard] for node in nodes if shard in node.registers.known]
+    chosen = max(known, key=_version, default=None)
+    if chosen is None or chosen["prev"]:  # "prev": a change of the voters is not finished
         return False
-    current = {n.id for n in nodes if n.registers.acceptors[shard].version >= chosen["stamp"]}
+    current = {node.id for node in nodes if node.registers.acceptors[shard].version >= chosen["stamp"]}
     present = sum(1 for voter in chosen["voters"] if voter in current)
     return present - losses > len(chosen["voters"]) // 2
 
@@ -86,10 +114,16 @@
     return state["stamp"]
 
 
-def table(seeds: range, nodes: int) -> str:
-    """One line for each kind of loss: the middle and the worst of all seeds, in seconds."""
-    rows = []
+def format_table(seeds: range, nodes: int) -> str:
+    """Returns one line for each kind of loss: the median and the worst of all seeds, in seconds.
+
+    Args:
+        seeds: The seeds to measure.
+        nodes: How many control nodes the group has.
+    """
+    lines = []
     for kind in KINDS:
-        times = sorted(measure(seed, kind, nodes).after_start_s for seed in seeds)
-        rows.append(f"{kind.name}: middle {times[len(times) // 2]:.2f} s, worst {times[-1]:.2f} s, {len(times)} seeds")
-    return "\n".join(rows)
+        times_s = sorted(measure(seed, kind, nodes).after_start_s for seed in seeds)
+        median_s = times_s[len(times_s) // 2]
+        lines.append(f"{kind.name}: middle {median_s:.2f} s, worst {times_s[-1]:.2f} s, {len(times_s)} seeds")
+    return "\n".join(lines)
--- a/archhatch/simulation/runner.py
+++ b/archhatch/simulation/runner.py
@@ -8,11 +8,11 @@
 import random
 from dataclasses import dataclass, field
 
-from .checker import Rule, Violation, acknowledged, check
+from .checker import Rule, Violation, check, count_acknowledged
 from .control_node import SEEDS, Reader, SimulatedControlNode
-from .deployment import Deployment, Happening
+from .deployment import Deployment, FaultEvent
 from .faults import Fault, Shape, draw_faults
-from .history import Calm, History
+from .history import SettledSpan, History
 from .operators import make_clients
 from .register_node import RegisterNode
 
@@ -57,12 +57,12 @@
     faults: tuple[Fault, ...]
     violations: list[Violation] = field(default_factory=list)
     history: History = field(default_factory=History)
-    happenings: list[Happening] = field(default_factory=list)
+    fault_events: list[FaultEvent] = field(default_factory=list)
     acknowledged: int = 0
     steps: int = 0
 
     @property
-    def broken(self) -> bool:
+    def is_broken(self) -> bool:
         """Whether a rule was broken."""
         return bool(self.violations)
 
@@ -80,7 +80,7 @@
     gc_was_on = gc.isenabled()
     gc.disable()  # a task of a dead life must not be unwound in the middle of a run
     deployment = _deploy(seed, settings)
-    report = Report(seed, settings, faults, history=deployment.history, happenings=deployment.happenings)
+    report = Report(seed, settings, faults, history=deployment.history, fault_events=deployment.fault_events)
     try:
         deployment.schedule(faults)
         deployment.loop.run_until_complete(_day(deployment, settings))
@@ -91,7 +91,7 @@
         random.setstate(before)
         if gc_was_on:
             gc.enable()
-    report.acknowledged = acknowledged(deployment.history)
+    report.acknowledged = count_acknowledged(deployment.history)
     return report
 
 
@@ -116,13 +116,13 @@
         clients += [Reader(deployment, f"edge-{at}") for at in range(READERS)]
     end = settings.length_s
     await asyncio.gather(*(client.run(end) for client in clients))
-    faults_end = max((h.at for h in deployment.happenings if not h.begins), default=0.0)
-    while deployment.troubled():
+    faults_end = max((h.at for h in deployment.fault_events if not h.begins), default=0.0)
+    while deployment.has_faults():
         await asyncio.sleep(1.0)
         faults_end = loop.time()
     await asyncio.sleep(max(0.0, faults_end + SETTLE_S - loop.time()))
     if settings.model is Model.CONTROL:
-        deployment.history.calms += deployment.calms(loop.time())
+        deployment.history.settled_spans += deployment.settled_spans(loop.time())
     await _close(deployment, operators[0], settings)
 
 
@@ -130,14 +130,14 @@
     """After all faults: an order must be acknowledged, and every node that answers tells the newest version."""
     start = operator.now()
     if settings.model is Model.CONTROL:  # how fast the small nodes of the other model answer is no matter of the code
-        deployment.history.calms.append(Calm(start, start + LAST_S))
+        deployment.history.settled_spans.append(SettledSpan(start, start + LAST_S))
     await operator.catch_up(LAST_S)
     await operator.send(operator.make(operator.newest), deployment.history.acknowledge_s + 1.0)
     end = operator.now() + LAST_S
-    read = await operator.read(last=True)
+    read = await operator.read(is_final=True)
     while read.answered_at is None and operator.now() < end:
         await asyncio.sleep(0.2)
-        read = await operator.read(last=True)
+        read = await operator.read(is_final=True)
     for host in deployment.hosts:
         await operator.read(host)
     await asyncio.sleep(deployment.history.converge_s)
--- a/tests/simulation/test_checker.py
+++ b/tests/simulation/test_checker.py
@@ -3,39 +3,49 @@
 import pytest
 
 from archhatch.simulation.checker import Rule, check
-from archhatch.simulation.history import Attempt, Calm, Change, Form, Grant, History, Outcome, Read, Seen
+from archhatch.simulation.history import (
+    Attempt,
+    SettledSpan,
+    Change,
+    ChangeMethod,
+    Grant,
+    History,
+    Outcome,
+    Read,
+    HeldRevision,
+)
 
 ACK, CONFLICT, INVALID, UNCLEAR = Outcome.ACKNOWLEDGED, Outcome.CONFLICT, Outcome.INVALID, Outcome.UNCLEAR
 
 
-def change(number, revision, match, form=Form.WHOLE, valid=True):
-    return Change(number, form, revision, match, (f"c{number}",), valid)
+def change(number, revision, match, method=ChangeMethod.PUT, is_valid=True):
+    return Change(number, method, revision, match, (f"c{number}",), is_valid)
 
 
-A, B, C = change(1, 2, 0), change(2, 5, 2), change(3, 9, 5, Form.ITEMS)
-RIVAL, BAD, AHEAD = change(4, 5, 2), change(5, 7, 2, valid=False), change(6, 12, 9)
+A, B, C = change(1, 2, 0), change(2, 5, 2), change(3, 9, 5, ChangeMethod.PATCH)
+RIVAL, BAD, AHEAD = change(4, 5, 2), change(5, 7, 2, is_valid=False), change(6, 12, 9)
 
 
 def sent(what, start, end, outcome=ACK, node="n1"):
     return Attempt(what, node, start, end, outcome)
 
 
-def read(start, end, revision, *numbers, last=False):
-    return Read("n1", start, end, revision, tuple(f"c{n}" for n in numbers), last)
+def read(start, end, revision, *numbers, is_final=False):
+    return Read("n1", start, end, revision, tuple(f"c{n}" for n in numbers), is_final)
 
 
-def history(*events, calms=(), acknowledge_s=4.0):
-    lists = {Attempt: [], Read: [], Seen: [], Grant: []}
+def history(*events, settled_spans=(), acknowledge_s=4.0):
+    lists = {Attempt: [], Read: [], HeldRevision: [], Grant: []}
     for event in events:
         lists[type(event)].append(event)
-    return History(lists[Attempt], lists[Read], lists[Seen], lists[Grant], list(calms), acknowledge_s)
+    return History(lists[Attempt], lists[Read], lists[HeldRevision], lists[Grant], list(settled_spans), acknowledge_s)
 
 
 CHAIN = (sent(A, 0, 1), sent(B, 2, 3), sent(C, 4, 5))
 
 SOUND = {
     "nothing": [],
-    "a chain and its readings": [*CHAIN, read(1, 2, 2, 1), read(6, 7, 9, 2, 3, last=True)],
+    "a chain and its readings": [*CHAIN, read(1, 2, 2, 1), read(6, 7, 9, 2, 3, is_final=True)],
     "a reading beside a change": [*CHAIN, read(4, 5, 5, 2), read(4, 5, 9, 2, 3)],
     "an unclear one in force": [sent(A, 0, 1), sent(B, 2, None, UNCLEAR), read(3, 4, 5, 2)],
     "an unclear one not in force": [sent(A, 0, 1), sent(B, 2, None, UNCLEAR), read(3, 4, 2, 1)],
@@ -62,8 +72,13 @@
     "acknowledged again": [*CHAIN, sent(A, 6, 7)],
     "a race": [sent(A, 0, 1), sent(B, 2, 3), sent(RIVAL, 2, 3, CONFLICT), read(4, 5, 5, 2)],
     "an invalid one refused": [sent(A, 0, 1), sent(BAD, 2, 3, INVALID), read(4, 5, 2, 1)],
-    "an end that was read": [*CHAIN, read(6, None, None, last=True), read(7, 8, 9, 2, 3, last=True)],
-    "readers": [Seen("e", 1, 1, 2), Seen("e", 1, 2, 5), Seen("e", 2, 3, 2), Seen("f", 1, 3, 2)],
+    "an end that was read": [*CHAIN, read(6, None, None, is_final=True), read(7, 8, 9, 2, 3, is_final=True)],
+    "readers": [
+        HeldRevision("e", 1, 1, 2),
+        HeldRevision("e", 1, 2, 5),
+        HeldRevision("e", 2, 3, 2),
+        HeldRevision("f", 1, 3, 2),
+    ],
     "leases": [Grant("s", 1, "x", 1), Grant("s", 1, "x", 2), Grant("s", 2, "y", 3), Grant("t", 1, "y", 3)],
     "refused ahead of its version, and so for good": [
         sent(B, 0, None, UNCLEAR),
@@ -96,8 +111,8 @@
     "a valid one refused on the current version": ([sent(A, 0, 1), sent(B, 2, 3, CONFLICT)], Rule.REFUSED),
     "a valid one called invalid": ([sent(A, 0, 1), sent(B, 2, 3, INVALID)], Rule.REFUSED),
     "the first one refused": ([sent(A, 0, 1, CONFLICT)], Rule.REFUSED),
-    "no end": ([*CHAIN, read(6, None, None, last=True)], Rule.FINAL),
-    "a reader that goes back": ([Seen("e", 1, 1, 5), Seen("e", 1, 2, 2)], Rule.BACK),
+    "no end": ([*CHAIN, read(6, None, None, is_final=True)], Rule.FINAL),
+    "a reader that goes back": ([HeldRevision("e", 1, 1, 5), HeldRevision("e", 1, 2, 2)], Rule.BACK),
     "a lease of two": ([Grant("s", 1, "x", 1), Grant("s", 1, "y", 2)], Rule.LEASE),
 }
 
@@ -114,12 +129,12 @@
 
 
 @pytest.mark.parametrize(
-    "calm, answered, broken",
+    "span, answered, broken",
     [((1, 9), None, True), ((1, 9), 3.0, False), ((1, 9), 6.5, True), ((1, 5), None, False), ((3, 9), None, False)],
 )
-def test_a_settled_group_owes_an_answer_in_time(calm, answered, broken):
+def test_a_settled_group_owes_an_answer_in_time(span, answered, broken):
     attempts = [sent(B, 2, None, UNCLEAR), sent(B, 2.5, answered, ACK) if answered else sent(B, 5, None, UNCLEAR)]
-    found = check(history(sent(A, 0, 1), *attempts, calms=[Calm(*calm)]))
+    found = check(history(sent(A, 0, 1), *attempts, settled_spans=[SettledSpan(*span)]))
     assert [v.rule for v in found] == [Rule.AVAILABLE] * broken
 
 
@@ -129,11 +144,11 @@
     ids=["one that lost a race", "one whose sender gave up"],
 )
 def test_nothing_is_owed_to(events):
-    assert check(history(sent(A, 0, 1), *events, calms=[Calm(1, 9)])) == []
+    assert check(history(sent(A, 0, 1), *events, settled_spans=[SettledSpan(1, 9)])) == []
 
 
 @pytest.mark.parametrize("at, revision, broken", [(3.5, 2, True), (3.5, 5, False), (2.5, 2, False), (8.5, 2, False)])
 def test_a_reader_is_fresh_while_the_group_is_settled(at, revision, broken):
-    seen = [Seen("e", 1, 0.5, 0), Seen("e", 1, at, revision)]
-    found = check(history(sent(A, 0, 0.4), sent(B, 0.5, 1), *seen, calms=[Calm(0.2, 8)]))
+    seen = [HeldRevision("e", 1, 0.5, 0), HeldRevision("e", 1, at, revision)]
+    found = check(history(sent(A, 0, 0.4), sent(B, 0.5, 1), *seen, settled_spans=[SettledSpan(0.2, 8)]))
     assert [v.rule for v in found] == [Rule.FRESH] * broken
--- a/tests/simulation/test_deployment.py
+++ b/tests/simulation/test_deployment.py
@@ -1,4 +1,4 @@
-"""The simulated world: virtual time, lives that freeze and die, disks that lose what was not synced, cut links."""
+"""The simulated world: virtual time, incarnations that freeze and end, disks that lose unsynced data, cut links."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 from archhatch.rpc import CallError, Handlers, CallRefusedError
 from archhatch.simulation.disk import SimulatedDisk
 from archhatch.simulation.faults import FaultKind, Shape, draw_faults
-from archhatch.simulation.loop import Life, SimulationStuck, VirtualLoop
+from archhatch.simulation.loop import Incarnation, SimulationStuckError, VirtualLoop
 from archhatch.simulation.network import SimulatedNetwork
 
 
@@ -33,8 +33,8 @@
     assert loop.time() == 3600
 
 
-def test_a_frozen_life_waits_for_its_thaw(loop):
-    out, incarnation = [], Life("a")
+def test_a_frozen_incarnation_waits_for_its_thaw(loop):
+    out, incarnation = [], Incarnation("a")
     loop.spawn(incarnation, tick(loop, out, 3))
     loop.call_outside(1.5, loop.freeze, incarnation)
     loop.call_outside(10, loop.thaw, incarnation)
@@ -42,8 +42,8 @@
     assert out == [1, 10, 11]
 
 
-def test_nothing_of_a_dead_life_runs_again(loop):
-    out, incarnation = [], Life("a")
+def test_nothing_of_an_ended_incarnation_runs_again(loop):
+    out, incarnation = [], Incarnation("a")
     loop.spawn(incarnation, tick(loop, out, 9))
     loop.call_outside(2.5, loop.end, incarnation)
     loop.run_until_complete(asyncio.sleep(20))
@@ -51,17 +51,17 @@
 
 
 def test_a_loop_without_anything_to_do_says_so(loop):
-    with pytest.raises(SimulationStuck):
+    with pytest.raises(SimulationStuckError):
         loop.run_until_complete(asyncio.Event().wait())
 
 
-def test_the_seed_mixes_lives_and_keeps_the_order_of_each():
+def test_the_seed_mixes_incarnations_and_keeps_the_order_of_each():
     def order(seed):
         loop, out = VirtualLoop(random.Random(seed)), []
         for name in "ab":
             for at in range(8):
-                Life(name)
-            incarnation = Life(name)
+                Incarnation(name)
+            incarnation = Incarnation(name)
             for at in range(8):
                 loop.call_soon(out.append, f"{name}{at}", context=incarnation.context)
         loop.run_until_complete(asyncio.sleep(1))
@@ -175,7 +175,7 @@
 
 
 def test_calls_whose_moment_had_not_come_never_happened(loop):
-    incarnation = Life("a")
+    incarnation = Incarnation("a")
     disk = incarnation.disk = SimulatedDisk(random.Random(1), loop.time)
     disk.makedirs("/d")
     disk.stalled_until = 5.0
@@ -221,7 +221,7 @@
 
 
 def test_a_call_and_its_refusals(net):
-    serve(net, "b", Life("b"))
+    serve(net, "b", Incarnation("b"))
     assert call(net) == (1000, {"got": {"x": [1, 2]}}, b"raw")  # documents pass through the wire's form
     assert call(net, "no")[:2] == (3003, "why")
     assert call(net, "what")[0] == 2009
@@ -230,7 +230,7 @@
 
 @pytest.mark.parametrize("source, target, heard", [("a", "b", 0), ("b", "a", 1)])
 def test_a_cut_works_in_one_direction(net, source, target, heard):
-    got = serve(net, "b", Life("b"))
+    got = serve(net, "b", Incarnation("b"))
     net.cut(source, target)
     with pytest.raises(CallError):
         call(net)
@@ -244,7 +244,7 @@
     [(lambda net, incarnation: net.loop.end(incarnation), False), (lambda net, incarnation: net.dark.add("b"), True)],
 )
 def test_a_dead_process_refuses_and_a_dark_machine_is_silent(net, spoil, sent):
-    incarnation = Life("b")
+    incarnation = Incarnation("b")
     serve(net, "b", incarnation)
     spoil(net, incarnation)
     with pytest.raises(CallError) as caught:
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -9,7 +9,7 @@
 from archhatch.simulation.planted_faults import PLANTS, planted
 from archhatch.simulation.repair import KINDS, measure
 from archhatch.simulation.runner import Model, Settings, faults_of, play, shrink
-from archhatch.simulation.trace import tell
+from archhatch.simulation.trace import format_trace
 
 SHORT = Settings(length_s=10.0)
 CONTROL = Settings(Model.CONTROL, length_s=14.0)
@@ -24,13 +24,13 @@
 def test_seeds_hold(settings, seeds):
     for seed in seeds:
         report = play(seed, settings)
-        assert not report.broken, tell(report)
+        assert not report.is_broken, format_trace(report)
         assert report.acknowledged, f"seed {seed}: nothing was acknowledged, so nothing was shown"
 
 
 @pytest.mark.parametrize("settings", [SHORT, CONTROL], ids=["register", "control nodes"])
 def test_a_seed_is_played_the_same_way_each_time(settings):
-    one, other = (hashlib.sha256(tell(play(3, settings)).encode()).hexdigest() for _ in range(2))
+    one, other = (hashlib.sha256(format_trace(play(3, settings)).encode()).hexdigest() for _ in range(2))
     assert one == other
 
 
@@ -39,7 +39,7 @@
     with planted("two-on-one-version"):
         first = play(seed, SHORT)
         report = shrink(first)
-    assert report.broken and len(report.faults) < len(first.faults)
+    assert report.is_broken and len(report.faults) < len(first.faults)
 
 
 @pytest.mark.parametrize("text, seeds", [("0:500", range(500)), ("7", range(7, 8)), ("7:9", range(7, 9))])
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize(
     "wrong", [{"seeds": "x"}, {"seeds": "9:3"}, {"seeds": "1:2:3"}, {"plant": "no such"}, {"nodes": 4}]
 )
-def test_wrong_use_is_told(wrong, capsys):
+def test_wrong_use_is_refused(wrong, capsys):
     assert command.run(Flags(**wrong), []) == 2
     assert "simulate" in capsys.readouterr().err
 
@@ -121,8 +121,8 @@
 def test_a_planted_fault_is_found_and_nothing_without_it(name):
     settings = MODEL_OF.get(name, Settings())
     with planted(name):
-        found = [seed for seed in FOUND_BY[name] if play(seed, settings).broken]
-    assert found and not play(found[0], settings).broken
+        found = [seed for seed in FOUND_BY[name] if play(seed, settings).is_broken]
+    assert found and not play(found[0], settings).is_broken
 
 
 def test_every_plant_says_what_it_takes_out():
