--- a/archhatch/simulation/deployment.py
+++ b/archhatch/simulation/deployment.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from .disk import SimulatedDisk
-from .faults import STEADY, WAIT_S, Fault, FaultKind, Shape
+from .faults import STEADY, MAX_WAIT_S, Fault, FaultKind, Shape
 from .history import SettledSpan, History, Outcome
 from .loop import Incarnation, VirtualLoop
 from .machine import Machine
@@ -78,7 +78,7 @@
 
     def _arm(self, fault: Fault) -> None:
         self._waiting.append(fault)
-        self.loop.call_outside(WAIT_S, self._fire, fault)
+        self.loop.call_outside(MAX_WAIT_S, self._fire, fault)
 
     def _fire(self, fault: Fault) -> None:
         if fault in self._waiting:
--- a/archhatch/simulation/faults.py
+++ b/archhatch/simulation/faults.py
@@ -28,6 +28,7 @@
     ROUGH_NETWORK = "messages are late, lost, doubled and reset more often"
 
 
+# How often each kind is drawn, in relation to the others.
 _WEIGHTS = {
     FaultKind.CRASH: 4,
     FaultKind.POWER_LOSS: 4,
@@ -46,33 +47,67 @@
     FaultKind.POWER_LOSS_ALL: 5,
     FaultKind.ROUGH_NETWORK: 5,
 }
-_ALL = {FaultKind.KILL_ALL, FaultKind.POWER_LOSS_ALL}
-_DESTROY = {FaultKind.WIPE, FaultKind.REPLACE}
+_OF_ALL_MACHINES = {FaultKind.KILL_ALL, FaultKind.POWER_LOSS_ALL}
+_DISK_LOSSES = {FaultKind.WIPE, FaultKind.REPLACE}
 _CUTS = {FaultKind.CUT, FaultKind.CUT_IN, FaultKind.CUT_OUT, FaultKind.CUT_PAIR}
-# A group with some machines in these troubles is settled once their beginning lies ContactMs back.
+_DISK_FAULTS = (FaultKind.STALL, FaultKind.FULL, FaultKind.FAILING_WRITES, FaultKind.FAILING_SYNCS)
+_PROCESS_DEATHS = (FaultKind.CRASH, FaultKind.POWER_LOSS)
+# A group in which only such faults stand is settled once their beginning is ContactMs ago.
 STEADY = {FaultKind.CRASH, FaultKind.POWER_LOSS, FaultKind.WIPE, FaultKind.REPLACE, FaultKind.FREEZE, FaultKind.CUT}
 
-LONG_CUT_S = ((2.0, 8.0), (15.0, 22.0))
-LONG_CUTS = 0.5  # of the cuts are long ones
+# Shares are chances from 0 to 1; pairs of seconds are the bounds of a uniform draw.
+MAX_WAIT_S = 2.0  # a fault that waits for an acknowledgement comes after this time even without one
+WAITING_SHARE = 0.3  # of the faults wait for the next acknowledgement: that is when a lost change shows
 DURATION_S = (0.2, 4.0)
-FAILING_MACHINES = (0.05, 0.15, 0.7)  # of the troubles: disk and links go bad, and the process dies
-PILES = 0.3  # of the troubles are several faults of one machine at once
-ROUGH_DAYS = 0.3  # of the schedules have a rough network all day
-STORMS = 0.6
-LEADER = 0.4  # of the troubles of a storm are those of slot 0, which mostly leads
+MAX_DURATION_OF_ALL_S = 2.0  # of the faults of all machines, so that some of the run is left to clients
+LONG_CUT_SHARE = 0.5  # of the cuts last long
+LONG_CUT_S = ((2.0, 8.0), (15.0, 22.0))
+OMITTED_KINDS_SHARE = 0.4  # of the kinds are left out of a schedule: fewer kinds in one run meet more often
+ROUGH_RUN_SHARE = 0.3  # of the schedules have a rough network throughout
+
+# The pauses between faults, beside SyncS and the sum of SyncS and ContactMs, and the factors on them.
+SHORT_PAUSES_S = (0.02, 0.2, 1.0)
+PACES = (0.25, 0.5, 1.0)
+MAX_FIRST_DELAY_S = 2.5  # after the earliest moment of a fault
+
+# A cluster: several faults of one machine in a short time.
+CLUSTER_SHARE = 0.3
+CLUSTER_SIZE = (2, 5)
+CLUSTER_S = 1.2
+MIN_CLUSTER_FAULT_S = 0.05
+
+# A failing machine: its disk and links fail, and the process dies.
+FAILING_MACHINE_SHARES = (0.05, 0.15, 0.7)  # one is drawn for each schedule
+FAILING_MACHINE_ROUGH_SHARE = 0.5
+DEATH_DELAY_S = (0.2, CLUSTER_S)
+FIRST_CUT_DELAY_S = (0.0, 0.3)
+DEATH_S = (0.05, 0.3)
+SECOND_CUT_S = (0.3, CLUSTER_S)
+
+# A storm: short faults of any machines, beyond what FaultTolerance allows.
+STORM_SHARE = 0.6
+STORM_ROUGH_SHARE = 0.7
+STORM_ROUGH_START_S = 0.5
+STORM_START_S = 1.0
+STORM_LEADER_SHARE = 0.4  # of the faults are those of slot 0, which leads most of the time
 STORM_KINDS = 3
-STORM_PAUSE_S = (0.15, 0.4, 1.0)
-STORM_LONGEST_S = (0.3, 1.0, 3.0)
-PILE_OF = (2, 5)
-PILE_S = 1.2
-KINDS_LEFT_OUT = 0.4  # of the kinds are left out of a schedule: fewer kinds in one day meet more often
-PACES = (0.25, 0.5, 1.0)  # some days leave little time between troubles
-AFTER_ACKNOWLEDGEMENT = 0.3  # of the faults wait for the next acknowledgement
+STORM_MEAN_PAUSES_S = (0.15, 0.4, 1.0)
+STORM_MIN_FAULT_S = 0.03
+STORM_MAX_FAULTS_S = (0.3, 1.0, 3.0)
 
 
 @dataclass(frozen=True)
 class Fault:
-    """A fault of a machine (by its slot) from a moment on, or from the next acknowledgement after it if it waits."""
+    """One fault of a schedule.
+
+    Attributes:
+        kind: What happens.
+        at: When it begins, in seconds of virtual time.
+        duration: How long it lasts, in seconds.
+        slot: The machine that it happens to.
+        peer: The other end of a link that is cut.
+        waits: Whether it begins at the next acknowledgement after `at`, or MAX_WAIT_S later without one.
+    """
 
     kind: FaultKind
     at: float
@@ -82,7 +117,8 @@
     waits: bool = False
 
     def __str__(self) -> str:
-        where = "" if self.kind in _ALL or self.kind is FaultKind.ROUGH_NETWORK else f" of {self.slot}"
+        is_of_one_machine = self.kind not in _OF_ALL_MACHINES and self.kind is not FaultKind.ROUGH_NETWORK
+        where = f" of {self.slot}" if is_of_one_machine else ""
         peer = f" and {self.peer}" if self.kind is FaultKind.CUT_PAIR else ""
         waits = ", at the next acknowledgement" if self.waits else ""
         return f"{self.at:7.3f} +{self.duration:6.3f} {self.kind.name}{where}{peer}{waits}"
@@ -90,7 +126,19 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """What a schedule is drawn for."""
+    """What a schedule is drawn for.
+
+    Attributes:
+        machines: How many machines there are.
+        founders: How many of them found the group.
+        tolerance: How many machines may be lost at once (FaultTolerance).
+        length_s: The length of the schedule.
+        contact_s: ContactMs in seconds.
+        sync_s: SyncS: how long a machine still counts as lost after its return.
+        spares: How many machines may be replaced.
+        first_s: The earliest moment of a fault.
+        storms: Whether some schedules exceed the tolerance; only for runs that judge safety alone.
+    """
 
     machines: int = 4
     founders: int = 3
@@ -99,131 +147,155 @@
     contact_s: float = 3.0
     sync_s: float = 4.7
     spares: int = 2
-    first_s: float = 1.5  # the earliest trouble
-    storms: bool = False  # some schedules take no heed of tolerance: only where safety alone is judged
+    first_s: float = 1.5
+    storms: bool = False
 
 
-class _Draw:
-    """The state of one drawing: who counts as lost until when."""
+class _ScheduleDraw:
+    """The state of one drawing: which machines count as lost until when. The order of draws is part of a seed."""
 
-    def __init__(self, rng: random.Random, shape: Shape):
-        self.rng, self.shape = rng, shape
+    def __init__(self, rng: random.Random, shape: Shape) -> None:
+        self.rng = rng
+        self.shape = shape
         self.lost_until = [0.0] * shape.machines
         self.keep_disks_until = 0.0
         self.spares = shape.spares
         self.faults: list[Fault] = []
         self.pace = rng.choice(PACES)
-        self.failing = rng.choice(FAILING_MACHINES)
-        weights = {kind: weight for kind, weight in _WEIGHTS.items() if rng.random() >= KINDS_LEFT_OUT}
+        self.failing_machine_share = rng.choice(FAILING_MACHINE_SHARES)
+        weights = {kind: weight for kind, weight in _WEIGHTS.items() if rng.random() >= OMITTED_KINDS_SHARE}
         self.weights = weights or _WEIGHTS
 
     def run(self) -> tuple[Fault, ...]:
-        now = self.shape.first_s + self.rng.uniform(0.0, 2.5)
-        if self.shape.storms and self.rng.random() < STORMS:
-            self._storm()
-            return tuple(sorted(self.faults, key=lambda fault: fault.at))
-        if self.rng.random() < ROUGH_DAYS:
-            self.faults.append(Fault(FaultKind.ROUGH_NETWORK, now, self.shape.length_s - now))
-        while now < self.shape.length_s:
-            fate = self.rng.random()
-            if fate < self.failing:
-                self._failing_machine(now)
-            elif fate < self.failing + PILES:
-                self._pile(now)
-            else:
-                self._one(now)
-            pauses = (0.02, 0.2, 1.0, self.shape.sync_s, self.shape.sync_s + self.shape.contact_s)
-            now += self.rng.choice(pauses) * self.pace
+        """Draws the schedule."""
+        start = self.shape.first_s + self.rng.uniform(0.0, MAX_FIRST_DELAY_S)
+        if self.shape.storms and self.rng.random() < STORM_SHARE:
+            self._add_storm()
+        else:
+            self._add_tolerated_faults(start)
         return tuple(sorted(self.faults, key=lambda fault: fault.at))
 
-    def _storm(self) -> None:
-        """Short troubles of any machines at any time. No disk is lost: then no number of them may break safety."""
-        rng, shape = self.rng, self.shape
-        kinds = rng.sample([k for k in _WEIGHTS if k not in _DESTROY and k is not FaultKind.ROUGH_NETWORK], STORM_KINDS)
-        kinds.append(rng.choice((FaultKind.CRASH, FaultKind.POWER_LOSS)))
-        pause, longest = rng.choice(STORM_PAUSE_S), rng.choice(STORM_LONGEST_S)
-        if rng.random() < 0.7:
-            self.faults.append(Fault(FaultKind.ROUGH_NETWORK, 0.5, shape.length_s))
-        now = 1.0
+    def _add_tolerated_faults(self, now: float) -> None:
+        shape = self.shape
+        if self.rng.random() < ROUGH_RUN_SHARE:
+            self.faults.append(Fault(FaultKind.ROUGH_NETWORK, now, shape.length_s - now))
+        pauses_s = (*SHORT_PAUSES_S, shape.sync_s, shape.sync_s + shape.contact_s)
         while now < shape.length_s:
-            slot = 0 if rng.random() < LEADER else rng.randrange(shape.machines)
-            peer = (slot + rng.randrange(1, shape.machines)) % shape.machines
-            kind, waits = rng.choice(kinds), rng.random() < AFTER_ACKNOWLEDGEMENT
-            self.faults.append(Fault(kind, now, rng.uniform(0.03, longest), slot, peer, waits))
-            now += rng.expovariate(1 / pause)
+            draw = self.rng.random()
+            if draw < self.failing_machine_share:
+                self._add_failing_machine(now)
+            elif draw < self.failing_machine_share + CLUSTER_SHARE:
+                self._add_cluster(now)
+            else:
+                self._add_single(now)
+            now += self.rng.choice(pauses_s) * self.pace
+
+    def _add_storm(self) -> None:
+        """Short faults of any machines at any time. No disk is lost: then no number of them may break safety."""
+        rng = self.rng
+        shape = self.shape
+        candidates: list[FaultKind] = [
+            kind for kind in _WEIGHTS if kind not in _DISK_LOSSES and kind is not FaultKind.ROUGH_NETWORK
+        ]
+        kinds = rng.sample(candidates, STORM_KINDS)
+        kinds.append(rng.choice(_PROCESS_DEATHS))
+        mean_pause_s = rng.choice(STORM_MEAN_PAUSES_S)
+        max_duration_s = rng.choice(STORM_MAX_FAULTS_S)
+        if rng.random() < STORM_ROUGH_SHARE:
+            self.faults.append(Fault(FaultKind.ROUGH_NETWORK, STORM_ROUGH_START_S, shape.length_s))
+        now = STORM_START_S
+        while now < shape.length_s:
+            slot = 0 if rng.random() < STORM_LEADER_SHARE else rng.randrange(shape.machines)
+            peer = self._draw_peer(slot)
+            kind = rng.choice(kinds)
+            waits = self._draw_waits()
+            self.faults.append(Fault(kind, now, rng.uniform(STORM_MIN_FAULT_S, max_duration_s), slot, peer, waits))
+            now += rng.expovariate(1 / mean_pause_s)
 
-    def _kind(self) -> FaultKind:
+    def _draw_kind(self) -> FaultKind:
         return self.rng.choices(list(self.weights), list(self.weights.values()))[0]
 
-    def _pile(self, now: float) -> None:
+    def _draw_peer(self, slot: int) -> int:
+        return (slot + self.rng.randrange(1, self.shape.machines)) % self.shape.machines
+
+    def _draw_waits(self) -> bool:
+        return self.rng.random() < WAITING_SHARE
+
+    def _add_cluster(self, now: float) -> None:
         """Several faults of one machine in a short time."""
         slot = self.rng.randrange(self.shape.machines)
-        for _ in range(self.rng.randint(*PILE_OF)):
-            kind, at = self._kind(), now + self.rng.uniform(0.0, PILE_S)
+        for _ in range(self.rng.randint(*CLUSTER_SIZE)):
+            kind = self._draw_kind()
+            at = now + self.rng.uniform(0.0, CLUSTER_S)
             if kind is FaultKind.ROUGH_NETWORK:
-                self.faults.append(Fault(kind, at, PILE_S))
-            elif kind not in _ALL and kind not in _DESTROY:
-                waits = self.rng.random() < AFTER_ACKNOWLEDGEMENT
-                self._on_machine(kind, at, self.rng.uniform(0.05, PILE_S), waits, slot)
+                self.faults.append(Fault(kind, at, CLUSTER_S))
+            elif kind not in _OF_ALL_MACHINES and kind not in _DISK_LOSSES:
+                waits = self._draw_waits()
+                duration = self.rng.uniform(MIN_CLUSTER_FAULT_S, CLUSTER_S)
+                self._add_if_tolerated(Fault(kind, at, duration, slot, self._draw_peer(slot), waits))
 
-    def _failing_machine(self, now: float) -> None:
+    def _add_failing_machine(self, now: float) -> None:
         """The disk goes bad, links fail one after the other, and the process dies in the middle of it."""
-        slot, rng = self.rng.randrange(self.shape.machines), self.rng
-        bad_disk = rng.choice((FaultKind.STALL, FaultKind.FULL, FaultKind.FAILING_WRITES, FaultKind.FAILING_SYNCS))
-        dies = now + rng.uniform(0.2, PILE_S)
+        rng = self.rng
+        slot = rng.randrange(self.shape.machines)
+        disk_fault = rng.choice(_DISK_FAULTS)
+        dies_at = now + rng.uniform(*DEATH_DELAY_S)
         others = [other for other in range(self.shape.machines) if other != slot]
         first, second = rng.sample(others, 2)
-        if rng.random() < 0.5:
-            self.faults.append(Fault(FaultKind.ROUGH_NETWORK, now, PILE_S))
-        self._on_machine(bad_disk, now, PILE_S, False, slot)
-        self._on_machine(FaultKind.CUT_PAIR, now + rng.uniform(0.0, 0.3), dies - now, False, slot, first)
-        self._on_machine(rng.choice((FaultKind.CRASH, FaultKind.POWER_LOSS)), dies, rng.uniform(0.05, 0.3), False, slot)
-        self._on_machine(FaultKind.CUT_PAIR, dies, rng.uniform(0.3, PILE_S), False, slot, second)
-
-    def _one(self, now: float) -> None:
-        kind = self._kind()
-        long_cut = kind in _CUTS and self.rng.random() < LONG_CUTS
-        duration = self.rng.uniform(*(self.rng.choice(LONG_CUT_S) if long_cut else DURATION_S))
-        waits = self.rng.random() < AFTER_ACKNOWLEDGEMENT
+        if rng.random() < FAILING_MACHINE_ROUGH_SHARE:
+            self.faults.append(Fault(FaultKind.ROUGH_NETWORK, now, CLUSTER_S))
+        self._add_if_tolerated(Fault(disk_fault, now, CLUSTER_S, slot, self._draw_peer(slot)))
+        cut_at = now + rng.uniform(*FIRST_CUT_DELAY_S)
+        self._add_if_tolerated(Fault(FaultKind.CUT_PAIR, cut_at, dies_at - now, slot, first))
+        death = rng.choice(_PROCESS_DEATHS)
+        death_s = rng.uniform(*DEATH_S)
+        self._add_if_tolerated(Fault(death, dies_at, death_s, slot, self._draw_peer(slot)))
+        self._add_if_tolerated(Fault(FaultKind.CUT_PAIR, dies_at, rng.uniform(*SECOND_CUT_S), slot, second))
+
+    def _add_single(self, now: float) -> None:
+        kind = self._draw_kind()
+        is_long = kind in _CUTS and self.rng.random() < LONG_CUT_SHARE
+        bounds_s = self.rng.choice(LONG_CUT_S) if is_long else DURATION_S
+        duration = self.rng.uniform(*bounds_s)
+        waits = self._draw_waits()
         if kind is FaultKind.ROUGH_NETWORK:
             self.faults.append(Fault(kind, now, duration))
-        elif kind in _ALL:
-            self.faults.append(Fault(kind, now, min(duration, 2.0), waits=waits))
+        elif kind in _OF_ALL_MACHINES:
+            self.faults.append(Fault(kind, now, min(duration, MAX_DURATION_OF_ALL_S), waits=waits))
             self.keep_disks_until = now + duration + self.shape.sync_s
         else:
-            self._on_machine(kind, now, duration, waits)
-
-    def _on_machine(
-        self,
-        kind: FaultKind,
-        now: float,
-        duration: float,
-        waits: bool,
-        slot: int | None = None,
-        peer: int | None = None,
-    ) -> None:
-        slot = self.rng.randrange(self.shape.machines) if slot is None else slot
-        peer = (slot + self.rng.randrange(1, self.shape.machines)) % self.shape.machines if peer is None else peer
-        others = sum(1 for at, until in enumerate(self.lost_until) if until > now and at != slot)
-        if others >= self.shape.tolerance or (kind in _DESTROY and now < self.keep_disks_until):
+            slot = self.rng.randrange(self.shape.machines)
+            self._add_if_tolerated(Fault(kind, now, duration, slot, self._draw_peer(slot), waits))
+
+    def _add_if_tolerated(self, fault: Fault) -> None:
+        """Adds a fault of one machine, unless too many others count as lost when it begins."""
+        lost_others = sum(1 for slot, until in enumerate(self.lost_until) if until > fault.at and slot != fault.slot)
+        if lost_others >= self.shape.tolerance:
             return
-        if kind is FaultKind.REPLACE:
+        if fault.kind in _DISK_LOSSES and fault.at < self.keep_disks_until:
+            return  # after a loss of all processes each disk may be the only one that holds the newest state
+        if fault.kind is FaultKind.REPLACE:
             if not self.spares:
                 return
             self.spares -= 1
-        self.faults.append(Fault(kind, now, duration, slot, peer, waits))
-        # one that waits for an acknowledgement comes up to WAIT_S later
-        end = now + duration + self.shape.sync_s + (WAIT_S if waits else 0.0)
-        self.lost_until[slot] = max(self.lost_until[slot], end)
-
-
-WAIT_S = 2.0
+        self.faults.append(fault)
+        max_wait_s = MAX_WAIT_S if fault.waits else 0.0
+        # The sum keeps this order: another one rounds differently, and a seed could draw another schedule.
+        end = fault.at + fault.duration + self.shape.sync_s + max_wait_s
+        self.lost_until[fault.slot] = max(self.lost_until[fault.slot], end)
 
 
 def draw_faults(rng: random.Random, shape: Shape) -> tuple[Fault, ...]:
-    """A schedule in which no more machines are lost at once than may be; each counts for SyncS after its return.
+    """Draws a schedule in which no more machines are lost at once than may be; each counts for SyncS after its return.
 
-    >>> all(f.slot < 4 for f in draw_faults(random.Random(1), Shape()))
+    >>> all(fault.slot < 4 for fault in draw_faults(random.Random(1), Shape()))
     True
+
+    Args:
+        rng: The random numbers of the schedule.
+        shape: What the schedule is drawn for.
+
+    Returns:
+        The faults by their beginning.
     """
-    return _Draw(rng, shape).run()
+    return _ScheduleDraw(rng, shape).run()
