--- a/archhatch/simulation/deployment.py
+++ b/archhatch/simulation/deployment.py
@@ -1,23 +1,33 @@
-"""A simulated deployment: machines, network, and the faults that befall them."""
+"""A simulated deployment: its machines and network, and the faults that happen to them."""
 
 from __future__ import annotations
 
 import random
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
 from .disk import SimulatedDisk
 from .faults import STEADY, MAX_WAIT_S, Fault, FaultKind, Shape
 from .history import SettledSpan, History, Outcome
 from .loop import Incarnation, VirtualLoop
-from .machine import Machine
+from .machine import Machine, SimulatedNode
 from .network import SimulatedNetwork, Weather
 
-ROUGH = Weather(late=0.15, loss=0.1, duplicates=0.35, resets=0.05)
+ROUGH_WEATHER = Weather(late=0.15, loss=0.1, duplicates=0.35, resets=0.05)
+FAILING_CALLS_SHARE = 0.3  # of the calls of a disk whose writes or syncs fail
+
+EndFault = Callable[[], None]
 
 
 @dataclass(frozen=True)
 class FaultEvent:
-    """The beginning or the end of a fault, as it came."""
+    """The beginning or the end of a fault.
+
+    Attributes:
+        at: The moment, in seconds of virtual time.
+        fault: The fault.
+        begins: Whether it begins.
+    """
 
     at: float
     fault: Fault
@@ -28,10 +38,24 @@
 
 
 class Deployment:
-    """The machines by slot; a replaced machine's slot is taken by the new one. build() makes their nodes."""
-
-    def __init__(self, seed: int, shape: Shape, build):
-        self.seed, self.shape, self._build = seed, shape, build
+    """The machines of one run, their network, and what happened.
+
+    Attributes:
+        seed: The seed of the run.
+        shape: What its schedule is drawn for.
+        loop: The event loop.
+        network: The network.
+        history: What clients did and saw.
+        fault_events: When faults began and ended.
+        all_machines: Every machine so far, in the order in which they came.
+        machines: The present machines by slot; a machine that replaces another takes its slot.
+        other_incarnations: Processes that run on no machine of the group.
+    """
+
+    def __init__(self, seed: int, shape: Shape, build: Callable[[Machine, Incarnation], SimulatedNode]) -> None:
+        self.seed = seed
+        self.shape = shape
+        self._build = build
         self.loop = VirtualLoop(self.stream("scheduler"))
         self.network = SimulatedNetwork(self.loop, self.stream("network"))
         self.history = History()
@@ -39,13 +63,13 @@
         self.fault_events: list[FaultEvent] = []
         self.all_machines: list[Machine] = []
         self.machines = [self._make_machine() for _ in range(shape.machines)]
-        self.other_incarnations: list[Incarnation] = []  # of processes that are no machine of the group
+        self.other_incarnations: list[Incarnation] = []
         self._waiting: list[Fault] = []
         self._standing: list[Fault] = []
-        self._rough = 0
+        self._rough_count = 0  # faults of the network that stand: they may overlap
 
     def stream(self, name: str) -> random.Random:
-        """Random numbers of their own for one concern, so that a change elsewhere does not move them."""
+        """Returns random numbers of their own for one concern, so that a change elsewhere does not move them."""
         return random.Random(f"{self.seed}/{name}")
 
     def _make_machine(self) -> Machine:
@@ -57,7 +81,7 @@
 
     @property
     def hosts(self) -> list[str]:
-        """The hosts that are part of it now."""
+        """The hosts of the present machines."""
         return [machine.host for machine in self.machines]
 
     @property
@@ -66,54 +90,75 @@
         return [machine.host for machine in self.all_machines[: self.shape.founders]]
 
     def sample_hosts(self, count: int) -> list[str]:
-        """Some of the hosts, as an operator's list may have them."""
+        """Returns some of the hosts, as an operator's list may have them."""
         return self._choices.sample(self.hosts, min(count, len(self.hosts)))
 
     # -- faults
 
-    def schedule(self, faults) -> None:
-        """Have faults happen at their moments."""
+    def schedule(self, faults: Iterable[Fault]) -> None:
+        """Has faults happen at their moments, counted from now."""
         for fault in faults:
-            self.loop.call_outside(fault.at, self._arm if fault.waits else self._begin, fault)
+            self.loop.call_outside(fault.at, self._wait_for_acknowledgement if fault.waits else self._begin, fault)
 
-    def _arm(self, fault: Fault) -> None:
+    def _wait_for_acknowledgement(self, fault: Fault) -> None:
         self._waiting.append(fault)
-        self.loop.call_outside(MAX_WAIT_S, self._fire, fault)
+        self.loop.call_outside(MAX_WAIT_S, self._begin_waiting, fault)
 
-    def _fire(self, fault: Fault) -> None:
+    def _begin_waiting(self, fault: Fault) -> None:
         if fault in self._waiting:
             self._waiting.remove(fault)
             self._begin(fault)
 
     def has_faults(self) -> bool:
-        """Whether a fault stands, or waits."""
+        """Returns whether a fault stands, or waits for an acknowledgement."""
         return bool(self._standing or self._waiting)
 
     def on_outcome(self, outcome: Outcome) -> None:
-        """A client was answered: faults that wait for an acknowledgement come now."""
+        """Takes note of an answer to a client: faults that wait for an acknowledgement begin now."""
         if outcome is Outcome.ACKNOWLEDGED:
             for fault in list(self._waiting):
-                self._fire(fault)
+                self._begin_waiting(fault)
 
     def _begin(self, fault: Fault) -> None:
         machine = self.machines[fault.slot]
         self._standing.append(fault)
         self.fault_events.append(FaultEvent(self.loop.time(), fault, True))
-        end = _BEGIN[fault.kind](self, fault, machine)
+        end = self._apply(fault, machine)
         self.loop.call_outside(fault.duration, self._end, fault, end)
 
-    def _end(self, fault: Fault, end) -> None:
+    def _apply(self, fault: Fault, machine: Machine) -> EndFault:
+        """Lets a fault happen, and returns what ends it."""
+        end: EndFault
+        match fault.kind:
+            case FaultKind.CRASH | FaultKind.POWER_LOSS | FaultKind.WIPE:
+                end = self._take_down(fault, machine)
+            case FaultKind.REPLACE:
+                end = self._replace(fault, machine)
+            case FaultKind.FREEZE:
+                machine.freeze()
+                end = machine.thaw
+            case FaultKind.CUT | FaultKind.CUT_IN | FaultKind.CUT_OUT | FaultKind.CUT_PAIR:
+                end = self._cut(fault, machine)
+            case FaultKind.KILL_ALL | FaultKind.POWER_LOSS_ALL:
+                end = self._take_all_down(fault)
+            case FaultKind.ROUGH_NETWORK:
+                end = self._roughen_network()
+            case _:
+                end = self._harm_disk(fault, machine)
+        return end
+
+    def _end(self, fault: Fault, end: EndFault) -> None:
         self._standing.remove(fault)
         self.fault_events.append(FaultEvent(self.loop.time(), fault, False))
         end()
 
-    def _down(self, fault: Fault, machine: Machine):
+    def _take_down(self, fault: Fault, machine: Machine) -> EndFault:
         machine.take_down(power=fault.kind is not FaultKind.CRASH)
         if fault.kind is FaultKind.WIPE:
             machine.disk.wipe()
         return machine.bring_up
 
-    def _down_all(self, fault: Fault, machine: Machine):
+    def _take_all_down(self, fault: Fault) -> EndFault:
         machines = list(self.machines)
         for each in machines:
             each.take_down(power=fault.kind is FaultKind.POWER_LOSS_ALL)
@@ -124,24 +169,20 @@
 
         return bring_up
 
-    def _replace(self, fault: Fault, machine: Machine):
+    def _replace(self, fault: Fault, machine: Machine) -> EndFault:
         machine.take_down(power=True)
         machine.gone = True
 
-        def come() -> None:
+        def start_replacement() -> None:
             fresh = self._make_machine()
             fresh.bootstrap = False
             self.machines[fault.slot] = fresh
             fresh.start()
 
-        return come
+        return start_replacement
 
-    def _freeze(self, fault: Fault, machine: Machine):
-        machine.freeze()
-        return machine.thaw
-
-    def _cut(self, fault: Fault, machine: Machine):
-        others = [m.host for m in self.machines if m is not machine]
+    def _cut(self, fault: Fault, machine: Machine) -> EndFault:
+        others = [other.host for other in self.machines if other is not machine]
         if fault.kind is FaultKind.CUT_PAIR:
             others = [self.machines[fault.peer].host]
         links = []
@@ -158,72 +199,66 @@
 
         return heal
 
-    def _harm_disk(self, fault: Fault, machine: Machine):
-        disk, kind = machine.disk, fault.kind
+    def _harm_disk(self, fault: Fault, machine: Machine) -> EndFault:
+        disk = machine.disk
+        kind = fault.kind
         if kind is FaultKind.STALL:
             disk.stalled_until = max(disk.stalled_until, self.loop.time() + fault.duration)
         disk.full = disk.full or kind is FaultKind.FULL
         if kind is FaultKind.FAILING_WRITES:
-            disk.failing_writes, disk.short_writes = 0.3, 0.3
+            disk.failing_writes = disk.short_writes = FAILING_CALLS_SHARE
         if kind is FaultKind.FAILING_SYNCS:
-            disk.failing_syncs = 0.3
+            disk.failing_syncs = FAILING_CALLS_SHARE
 
-        def mend() -> None:
+        def restore() -> None:
             disk.full = False
             disk.failing_writes = disk.short_writes = disk.failing_syncs = 0.0
 
-        return mend
+        return restore
 
-    def _roughen(self, fault: Fault, machine: Machine):
-        self._rough += 1
-        self.network.weather = ROUGH
+    def _roughen_network(self) -> EndFault:
+        self._rough_count += 1
+        self.network.weather = ROUGH_WEATHER
 
-        def calm_down() -> None:
-            self._rough -= 1
-            self.network.weather = ROUGH if self._rough else Weather()
+        def restore() -> None:
+            self._rough_count -= 1
+            self.network.weather = ROUGH_WEATHER if self._rough_count else Weather()
 
-        return calm_down
+        return restore
 
     # -- spans in which the group was settled
 
     def settled_spans(self, end: float) -> list[SettledSpan]:
-        """Spans that begin ContactMs after a beginning or an end of a fault, and end at the next one."""
-        out, standing, since = [], [], 0.0
-        marks = [(h.at, h) for h in self.fault_events] + [(end, None)]
-        for at, happening in marks:
-            start = since + self.shape.contact_s
-            lost = {f.slot for f in standing}
-            steady = all(f.kind in STEADY for f in standing) and len(lost) <= self.shape.tolerance
-            if start < at and steady:
-                out.append(SettledSpan(start, at))
-            if happening is not None:
-                (standing.append if happening.begins else standing.remove)(happening.fault)
-            since = at
-        return out
+        """Returns the spans in which the group was settled.
+
+        Each begins ContactMs after a fault began or ended, and ends when the next one does. Faults of no more machines
+        than FaultTolerance may stand in it, and only such as a group bears without delay.
+
+        Args:
+            end: The end of the run.
+        """
+        spans = []
+        standing: list[Fault] = []
+        changed_at = 0.0
+        events: list[tuple[float, FaultEvent | None]] = [(event.at, event) for event in self.fault_events]
+        for at, event in [*events, (end, None)]:
+            start = changed_at + self.shape.contact_s
+            if start < at and self._tolerates(standing):
+                spans.append(SettledSpan(start, at))
+            if event is not None and event.begins:
+                standing.append(event.fault)
+            elif event is not None:
+                standing.remove(event.fault)
+            changed_at = at
+        return spans
+
+    def _tolerates(self, standing: list[Fault]) -> bool:
+        lost_slots = {fault.slot for fault in standing}
+        return all(fault.kind in STEADY for fault in standing) and len(lost_slots) <= self.shape.tolerance
 
     def shut(self) -> None:
-        """Forget what is under way."""
+        """Ends the simulation and drops what is under way."""
         self.loop.shut(
             [incarnation for machine in self.all_machines for incarnation in machine.incarnations]
             + self.other_incarnations
         )
-
-
-_BEGIN = {
-    FaultKind.CRASH: Deployment._down,
-    FaultKind.POWER_LOSS: Deployment._down,
-    FaultKind.WIPE: Deployment._down,
-    FaultKind.REPLACE: Deployment._replace,
-    FaultKind.FREEZE: Deployment._freeze,
-    FaultKind.CUT: Deployment._cut,
-    FaultKind.CUT_IN: Deployment._cut,
-    FaultKind.CUT_OUT: Deployment._cut,
-    FaultKind.CUT_PAIR: Deployment._cut,
-    FaultKind.STALL: Deployment._harm_disk,
-    FaultKind.FULL: Deployment._harm_disk,
-    FaultKind.FAILING_WRITES: Deployment._harm_disk,
-    FaultKind.FAILING_SYNCS: Deployment._harm_disk,
-    FaultKind.KILL_ALL: Deployment._down_all,
-    FaultKind.POWER_LOSS_ALL: Deployment._down_all,
-    FaultKind.ROUGH_NETWORK: Deployment._roughen,
-}
