--- a/archhatch/autoscaler/controller.py
+++ b/archhatch/autoscaler/controller.py
@@ -136,7 +136,7 @@
 
     def _staying_replicas(self, service: str) -> list:
         replicas = (self._node.load_balancer.by_service.get(service) or {}).values()
-        return [replica for replica in replicas if not replica.draining]
+        return [replica for replica in replicas if not replica.is_draining]
 
     def _pressure(self, service: str) -> float:
         """The share of its slots that a service needs, for its batch jobs and for its live requests."""
--- a/archhatch/capacity/probes/agreement.py
+++ b/archhatch/capacity/probes/agreement.py
@@ -103,7 +103,7 @@
 
 @probe("plan.make", "cpu", "make a configuration ready for look-ups", "routes", (50, 200, 800))
 async def _make(n):
-    made, doc = need("routing", "RoutingTable", "route"), plan(n)
+    made, doc = need("routing", "RoutingTable", "find_route"), plan(n)
     yield (lambda: [made(doc) for _ in range(5)]), 5
 
 
--- a/archhatch/capacity/probes/edge.py
+++ b/archhatch/capacity/probes/edge.py
@@ -12,8 +12,8 @@
 
 def load_balancer(n: int, service: str | None = None):
     """A picker that knows n replicas, of one service if it is named."""
-    one = need("upstream", "LoadBalancer", "fold", "pick")("zone-00", "edge-00", widen=0.5)
-    one.fold([{**entry(i), "service": service or entry(i)["service"]} for i in range(n)])
+    one = need("upstream", "LoadBalancer", "apply_updates", "select_replica")("zone-00", "edge-00", busy_share=0.5)
+    one.apply_updates([{**entry(i), "service": service or entry(i)["service"]} for i in range(n)])
     return one
 
 
@@ -21,14 +21,14 @@
 async def _new(n):
     one = load_balancer(n)
     fresh = [entry(n + i) for i in range(100)]
-    yield (lambda: one.fold(fresh)), 100
+    yield (lambda: one.apply_updates(fresh)), 100
 
 
 @probe("picker.again", "cpu", "fold changed entries of known replicas", "entries", (500, 1000, 2000))
 async def _again(n):
     one = load_balancer(n)
     same = [entry(i, 2) for i in range(n)]
-    yield (lambda: one.fold(same)), 1
+    yield (lambda: one.apply_updates(same)), 1
 
 
 @probe("picker.pick", "cpu", "pick a replica among those of its service", "replicas of the service", (50, 200, 800))
@@ -37,7 +37,7 @@
 
     def function():
         for _ in range(20):
-            one.pick("s", set(), 1.0)
+            one.select_replica("s", set(), 1.0)
 
     yield function, 20
 
@@ -51,27 +51,30 @@
     """An edge's window with the ways of a request behind it, and peers on both sides."""
 
     async def open(self):
-        self.edge = one = need("data_plane.edge", "Edge", "_front")(settings(), Quiet())
+        made_by = ("_make_dispatcher", "_make_http_server")
+        self.edge = one = need("data_plane.edge", "Edge", *made_by)(settings(), Quiet())
         self.peers = Peers()
         port = self.peers.start()
-        one.upstream_client = need("upstream", "UpstreamClient", "ask")()
-        args = (one.upstream_client, one.load_balancer, one.clock, one.counters, one.live)
-        one.forward = need("data_plane.forward", "Forward", "run")(*args)
-        one.relay = need("data_plane.relay", "Relay", "run")(*args)
-        one.plan = need("routing", "RoutingTable")(plan(4))
-        one.load_balancer.fold([{**entry(i), "addr": f"127.0.0.1:{port}", "id": f"i-{i}"} for i in (0, 2)][:1])
-        one.load_balancer.fold([{**entry(2), "addr": f"localhost:{port}", "id": "i-1"}])
-        await one.window.open("127.0.0.1:0")
+        one.upstream_client = need("upstream", "UpstreamClient", "request")()
+        args = (one.upstream_client, one.load_balancer, one.clock, one.counters, one.live_requests)
+        one.request_forwarder = need("data_plane.forward", "RequestForwarder", "forward")(*args)
+        need("data_plane.relay", "StreamRelay", "relay")
+        one.dispatcher = one._make_dispatcher()
+        one.dispatcher.routing_table = need("routing", "RoutingTable")(plan(4))
+        one.http_server = one._make_http_server()
+        one.load_balancer.apply_updates([{**entry(i), "addr": f"127.0.0.1:{port}", "id": f"i-{i}"} for i in (0, 2)][:1])
+        one.load_balancer.apply_updates([{**entry(2), "addr": f"localhost:{port}", "id": "i-1"}])
+        await one.http_server.open("127.0.0.1:0")
         return self
 
     async def go(self, count: int, stream: bool) -> float:
         """The seconds of this thread's processor time that it took."""
         began = time.thread_time()
-        await self.peers.go(self.edge.window.port(), count, stream)
+        await self.peers.go(self.edge.http_server.port(), count, stream)
         return time.thread_time() - began
 
     async def close(self):
-        await self.edge.window.close(0)
+        await self.edge.http_server.close(0)
         await self.edge.upstream_client.close()
         self.peers.end()
 
--- a/archhatch/capacity/reckon.py
+++ b/archhatch/capacity/reckon.py
@@ -161,7 +161,7 @@
     @property
     def block(self) -> float:
         """Replicas of a service that an edge uses first (upstream/subset): some of its zone, one of each other one."""
-        return min(self.of_service, need("upstream.subset", "HOME") + self.s.zones - 1)
+        return min(self.of_service, need("upstream.subset", "REPLICAS_OF_OWN_ZONE") + self.s.zones - 1)
 
     @property
     def polls(self) -> float:
--- a/archhatch/control/node.py
+++ b/archhatch/control/node.py
@@ -165,7 +165,7 @@
         await asyncio.sleep(self.heartbeat_interval_s)
         while self.clock.now() < end and self.groups.is_needed_for_leaving():
             await asyncio.sleep(self.heartbeat_interval_s)
-        self.window.leaving = True
+        self.window.is_draining = True
         await self.window.close(self.settings.seconds("GraceS", LEAVE_SHARE))
         await self.task_group.cancel_all()
         await self.desk.close()
--- a/archhatch/data_plane/__init__.py
+++ b/archhatch/data_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The switchboard: takes clients' requests and connects them to replicas and stores."""
+"""The edge node: takes clients' requests and sends them to replicas and stores."""
--- /dev/null
+++ b/archhatch/data_plane/dispatcher.py
@@ -0,0 +1,98 @@
+"""The way of a request through an edge: its configuration, its admission, its route, and who runs it."""
+
+from __future__ import annotations
+
+import asyncio
+
+from aiohttp.web_request import BaseRequest
+from aiohttp.web_response import StreamResponse
+
+from ..routing import JOB_CLASSES, RouteClass, RoutingTable
+from ..runtime import Counters, Result, Settings, StateBoard, error_result
+from ..upstream.headers import with_tenant
+from .admission import Admission, Admitted
+from .forward import RequestForwarder
+from .job_handlers import JobHandlers
+from .relay import StreamRelay
+
+NO_ROUTE_CODE = 2006
+METHOD_NOT_ALLOWED_CODE = 2010
+NO_CONFIGURATION_CODE = 3001
+
+JOB_PATHS = ("/api/lots/", "/api/items/")
+CONFIGURATION_WAIT_SHARE = 0.1  # of ContactMs: how long a request waits for an edge's first configuration
+RETRY_AFTER_SHARE = 0.05  # of ContactMs: when a client may come back that was refused for lack of one
+
+
+class RequestDispatcher:
+    """Dispatches clients' requests to the handlers of their route's class.
+
+    Attributes:
+        routing_table: The configuration in force; None before the first one came.
+    """
+
+    def __init__(  # noqa: PLR0913 - what it uses, named one by one
+        self,
+        *,
+        settings: Settings,
+        state_board: StateBoard,
+        counters: Counters,
+        admission: Admission,
+        job_handlers: JobHandlers,
+        request_forwarder: RequestForwarder,
+        stream_relay: StreamRelay,
+    ) -> None:
+        self._settings, self._state_board, self._counters = settings, state_board, counters
+        self._admission, self._job_handlers = admission, job_handlers
+        self._request_forwarder, self._stream_relay = request_forwarder, stream_relay
+        self.routing_table: RoutingTable | None = None
+
+    async def dispatch(self, request: BaseRequest, body: bytes) -> Result | StreamResponse:
+        """Answers one request."""
+        if self.routing_table is None:  # just started: the configuration is a moment away
+            await self._wait_for_configuration()
+        table = self.routing_table
+        if table is None:
+            self._counters.add("front.no_configuration")
+            return error_result(NO_CONFIGURATION_CODE, after_s=self._settings.seconds("ContactMs", RETRY_AFTER_SHARE))
+        path = request.raw_path.split("?", 1)[0]
+        if path.startswith(JOB_PATHS):
+            return await self._dispatch_to_job(request, table, path)
+        return await self._dispatch_to_route(request, table, path, body)
+
+    async def _wait_for_configuration(self) -> None:
+        await self._state_board.wait_for_change(
+            "parts",
+            self._state_board.version("parts"),
+            self._settings.seconds("ContactMs", CONFIGURATION_WAIT_SHARE),
+        )
+        await asyncio.sleep(0)  # the edge's own waiter comes first
+
+    async def _dispatch_to_job(self, request: BaseRequest, table: RoutingTable, path: str) -> Result:
+        allows_anonymous = table.allows_anonymous_jobs(request.headers.get("Host", ""))
+        admitted = self._admission.check(table, request.headers, allows_anonymous)
+        if not isinstance(admitted, Admitted):
+            return admitted
+        return await self._job_handlers.handle(request, path, request.raw_path)
+
+    async def _dispatch_to_route(
+        self, request: BaseRequest, table: RoutingTable, path: str, body: bytes
+    ) -> Result | StreamResponse:
+        route = table.find_route(request.headers.get("Host", ""), path)
+        if route is None:
+            self._counters.add("front.no_route")
+            return error_result(NO_ROUTE_CODE)
+        self._counters.add("front." + route.kind)
+        admitted = self._admission.check(table, request.headers, route.allows_anonymous)
+        if not isinstance(admitted, Admitted):
+            return admitted
+        headers = list(request.headers.items())
+        if table.has_tenants:
+            headers = with_tenant(headers, admitted.tenant)
+        if route.kind in JOB_CLASSES:
+            if request.method != "POST":
+                return error_result(METHOD_NOT_ALLOWED_CODE)
+            return await self._job_handlers.submit(request, route, body, admitted.tenant)
+        if route.kind == RouteClass.STREAMING:
+            return await self._stream_relay.relay(request, route, headers, body, admitted.tenant)
+        return await self._request_forwarder.forward(request, route, headers, body, admitted.tenant)
--- a/archhatch/data_plane/edge.py
+++ b/archhatch/data_plane/edge.py
@@ -1,111 +1,195 @@
-"""An edge node: its readiness, its news, and the way of a request through it."""
+"""An edge node: wires its parts, follows the configuration, and shows its readiness."""
 
 from __future__ import annotations
 
 import asyncio
 import random
+import socket
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
 
+from aiohttp.web_request import BaseRequest
 from transitions import Machine
 
 from ..http_server import HttpServer
+from ..membership import ConfigWatcher, NodeCard
 from ..routing import RoutingTable
-from ..membership import ConfigWatcher
-from ..runtime import StateBoard, Clock, Counters, TaskGroup, Result, error_result
-from ..upstream import UpstreamClient, LoadBalancer
 from ..rpc import CallError, ConnectionPool
-from ..upstream.headers import with_tenant
+from ..runtime import Clock, Counters, Result, Settings, StateBoard, TaskGroup, error_result
+from ..upstream import LoadBalancer, UpstreamClient
 from ..usage.counter import NAMESPACE as USAGE_DUTY
 from ..usage.counter import UsageSender
-from .admission import Admission, Admitted
-from .forward import Forward
-from .live_requests import Live
+from .admission import Admission
+from .dispatcher import RequestDispatcher
+from .forward import RequestForwarder
 from .job_handlers import JobHandlers
+from .lifecycle import READY, STARTING, STATES, TRANSITIONS
+from .live_requests import LiveRequestTracker
+from .relay import StreamRelay
 from .store_proxies import StoreProxies
-from .relay import Relay
 
-MOVES = [
-    {"trigger": "learned", "source": "starting", "dest": "ready"},
-    {"trigger": "learned", "source": "ready", "dest": "ready"},
-    {"trigger": "learned", "source": "leaving", "dest": "leaving"},
-    {"trigger": "told_to_go", "source": "*", "dest": "leaving"},
-]
+if TYPE_CHECKING:
+    from loguru import Logger
 
+NOT_FOUND_CODE = 2009
+READINESS_PATH = "/api/readiness"
+
+# Shares of ContactMs, the longest time for which nodes may be out of touch unnoticed.
+REPLICA_REST_SHARE = 0.3  # how long a replica that failed rests at first, and a store is not asked
+CONTACT_PROOF_SHARE = 0.25  # how old a control node's proof of contact may be
+QUIET_SHARE = 1 / 3  # how long a service must be without requests before its next one is reported at once
+
+# Shares of GraceS, within which the platform expects a node to end.
+READINESS_SHARE = 0.32  # the platform asks for readiness each second and wants two misses
+DRAIN_SHARE = 0.5
+
+BUSY_SHARE = 0.5  # of a replica's slots in use, from which on an edge looks at further replicas
+LIVE_REPORT_TARGETS = 2  # control nodes that are told of new live requests, one after the other
+LIVE_REPORT_S = 0.3
+PROCESS_ID_BITS = 48
 
-class Edge:
-    """Everything an edge node does.
 
-    >>> # edge = Edge(settings, log); await edge.start(); await edge.leave()
+class Edge:
+    """Everything that an edge node does.
+
+    Attributes:
+        state: "starting", "ready" or "leaving" (`lifecycle`).
+        http_server: Serves clients; there from start() on.
+        readiness_server: Serves the platform's readiness checks.
+        limits: The configuration's Limits, shared with the HTTP server.
+        load_balancer: Knows the replicas.
+        placement: Where the placement policy lets routes run.
+        usage: Counts requests for the tenants' usage; None where no usage is reported.
     """
 
-    def __init__(self, settings, log, clock=None, sock=None):
-        self.settings, self.log, self.sock = settings, log, sock
+    state: str
+    configuration_arrived: Callable[[], bool]  # triggers of the state machine
+    shutdown_ordered: Callable[[], bool]
+
+    def __init__(
+        self, settings: Settings, log: Logger, clock: Clock | None = None, sock: socket.socket | None = None
+    ) -> None:
+        """Makes the parts that need no event loop.
+
+        Args:
+            settings: The node's settings.
+            log: Where it logs.
+            clock: The steady clock.
+            sock: A socket that listens for clients already; one is opened if it is left out.
+        """
+        self.settings, self.log, self._socket = settings, log, sock
         self.clock = clock or Clock()
         self.counters = Counters()
         self.task_group = TaskGroup(log, self.counters)
         self.state_board = StateBoard()
         self.connections = ConnectionPool(self.counters)
-        self.plan: RoutingTable | None = None
-        self.limits: dict = {}
-        card = {
+        self.limits: dict[str, Any] = {}
+        self._lifecycle = Machine(
+            self, states=STATES, initial=STARTING, transitions=TRANSITIONS, auto_transitions=False
+        )
+        self.load_balancer = LoadBalancer(
+            settings.zone, settings.node_name, rest_s=self._contact_s(REPLICA_REST_SHARE), busy_share=BUSY_SHARE
+        )
+        self.placement = self.load_balancer.placement
+        self.live_requests = LiveRequestTracker(self.state_board, self.clock, self._contact_s(QUIET_SHARE))
+        self.config_watcher = self._make_config_watcher()
+        self.usage = self._make_usage_sender()
+        self.readiness_server = HttpServer(self._answer_readiness, log, self.counters)
+
+    def _contact_s(self, share: float) -> float:
+        return self.settings.seconds("ContactMs", share)
+
+    def _make_config_watcher(self) -> ConfigWatcher:
+        settings = self.settings
+        card: NodeCard = {
             "id": settings.node_name,
             "klass": "edge",
             "name": settings.node_name,
             "ip": settings.ip_address,
             "zone": settings.zone,
         }
-        self.config_watcher = ConfigWatcher(
-            settings, card, self.connections, self.state_board, self.clock, self.counters
-        )
-        self.live = self.config_watcher.live = Live(self.state_board, self.clock, settings.seconds("ContactMs", 1 / 3))
-        self.load_balancer = LoadBalancer(
-            settings.zone, settings.node_name, rest_s=settings.seconds("ContactMs", 0.3), widen=0.5
-        )
-        self.placement, self.config_watcher.successes_by_zone = self.load_balancer.placement, self.load_balancer.proved
-        self.admission = Admission(
-            settings, self.config_watcher, self.clock, self.counters, settings.seconds("ContactMs", 0.25)
-        )
-        self.usage = None
-        if settings.platform_api is not None and USAGE_DUTY in settings.platform_api.duties:
-            process = f"{random.getrandbits(48):012x}"
-            self.usage = UsageSender(
-                settings, self.config_watcher, self.connections, self.clock, self.counters, process
-            )
-        self.incarnation = Machine(
-            self, states=["starting", "ready", "leaving"], initial="starting", transitions=MOVES, auto_transitions=False
-        )
-        self.window = HttpServer(self._front, log, self.counters, self.limits, cancel_on_disconnect=True)
-        self.door = HttpServer(self._readiness, log, self.counters)
+        watcher = ConfigWatcher(settings, card, self.connections, self.state_board, self.clock, self.counters)
+        watcher.live = self.live_requests
+        watcher.successes_by_zone = self.load_balancer.take_answer_ages
+        return watcher
+
+    def _make_usage_sender(self) -> UsageSender | None:
+        platform = self.settings.platform_api
+        if platform is None or USAGE_DUTY not in platform.duties:
+            return None
+        process_id = f"{random.getrandbits(PROCESS_ID_BITS):012x}"
+        return UsageSender(self.settings, self.config_watcher, self.connections, self.clock, self.counters, process_id)
 
     async def start(self) -> None:
+        """Makes the parts that need the event loop, and serves."""
         self.upstream_client = UpstreamClient(counters=self.counters)
-        self.load_balancer.idle = self.upstream_client.idle
-        store_port, rest_s = self.settings.internal_ports[0] + 1, self.settings.seconds("ContactMs", 0.3)
+        self.load_balancer.use_connections_of(self.upstream_client.has_idle_connection)
+        self.request_forwarder = self._make_forwarder()
+        self.dispatcher = self._make_dispatcher()
+        self.http_server = self._make_http_server()
+        await self.readiness_server.open(self.settings.bindings["Readiness"])
+        await self.http_server.open(self.settings.bindings["FrontHttp"], self._socket)
+        self.task_group.run_forever("config_watcher", self.config_watcher.run)
+        self.task_group.run_forever("configuration", self._follow_configuration)
+        self.task_group.run_forever("live_requests", self._report_live_requests)
+        if self.usage is not None:
+            self.task_group.run_forever("usage", self.usage.run)
+        self.task_group.run_forever("replicas", self._follow_replicas)
+
+    def _make_forwarder(self) -> RequestForwarder:
         proxies = StoreProxies(
-            self.config_watcher, self.connections, store_port, self.settings.zone, rest_s, self.counters
+            self.config_watcher,
+            self.connections,
+            self.settings.internal_ports[0] + 1,
+            self.settings.zone,
+            self._contact_s(REPLICA_REST_SHARE),
+            self.counters,
         )
-        self.forward = Forward(
-            self.upstream_client, self.load_balancer, self.clock, self.counters, self.live, proxies, self.usage
+        return RequestForwarder(
+            self.upstream_client,
+            self.load_balancer,
+            self.clock,
+            self.counters,
+            self.live_requests,
+            proxies=proxies,
+            usage=self.usage,
         )
-        self.relay = Relay(self.upstream_client, self.load_balancer, self.clock, self.counters, self.live, self.usage)
-        self.batch_jobs = JobHandlers(self.settings, self.config_watcher, self.connections, self.counters, self.clock)
-        await self.door.open(self.settings.bindings["Readiness"])
-        await self.window.open(self.settings.bindings["FrontHttp"], self.sock)
-        self.task_group.run_forever("news", self.config_watcher.run)
-        self.task_group.run_forever("parts", self._parts_loop)
-        self.task_group.run_forever("live", self._live_loop)
-        if self.usage is not None:
-            self.task_group.run_forever("usage", self.usage.run)
-        self.task_group.run_forever("roll", self._roll_loop)
+
+    def _make_dispatcher(self) -> RequestDispatcher:
+        admission = Admission(
+            self.settings, self.config_watcher, self.clock, self.counters, self._contact_s(CONTACT_PROOF_SHARE)
+        )
+        job_handlers = JobHandlers(self.settings, self.config_watcher, self.connections, self.counters, self.clock)
+        stream_relay = StreamRelay(
+            self.upstream_client, self.load_balancer, self.clock, self.counters, self.live_requests, self.usage
+        )
+        return RequestDispatcher(
+            settings=self.settings,
+            state_board=self.state_board,
+            counters=self.counters,
+            admission=admission,
+            job_handlers=job_handlers,
+            request_forwarder=self.request_forwarder,
+            stream_relay=stream_relay,
+        )
+
+    def _make_http_server(self) -> HttpServer:
+        handler = self.dispatcher.dispatch
+        return HttpServer(handler, self.log, self.counters, self.limits, cancel_on_disconnect=True)
+
+    @property
+    def plan(self) -> RoutingTable | None:
+        """The configuration in force; None before the first one came."""
+        return self.dispatcher.routing_table
 
     async def leave(self) -> None:
-        """Off the list at once; what comes meanwhile is served; then the end, before GraceS."""
-        self.told_to_go()
-        self.log.info("leaving; under way {}", self.window.under_way)
-        self.window.leaving = True
-        # the platform asks for readiness each second and wants two misses
-        await asyncio.sleep(self.settings.seconds("GraceS", 0.32))
-        await self.window.close(self.settings.seconds("GraceS", 0.5))
-        await self.door.close(0.0)
+        """Ends the node within GraceS: shows that it is not ready, serves what still comes, and closes."""
+        self.shutdown_ordered()
+        self.log.info("edge: shutting down, in_flight={}", self.http_server.in_flight)
+        self.http_server.is_draining = True
+        await asyncio.sleep(self.settings.seconds("GraceS", READINESS_SHARE))
+        await self.http_server.close(self.settings.seconds("GraceS", DRAIN_SHARE))
+        await self.readiness_server.close(0.0)
         if self.usage is not None:
             await self.usage.send()
         await self.task_group.cancel_all()
@@ -113,75 +197,55 @@
         self.connections.end()
         self.log.info("counters {}", self.counters.summary())
 
-    async def _parts_loop(self) -> None:
+    async def _follow_configuration(self) -> None:
+        """Puts each newer configuration and placement policy in force."""
         turn = 0
         while True:
-            if self.placement.update(self.config_watcher.shards.get("plan")):
-                self.log.info("placement policy: {}", self.placement)
-            doc = (self.config_watcher.shards.get("plan") or {}).get("plan")
-            if doc is not None and (self.plan is None or doc["Revision"] > self.plan.stamp):
-                self.plan = self.config_watcher.plan = RoutingTable(doc)
-                self.limits.update(self.plan.limits)
-                self.log.info("configuration {} is in force", self.plan.stamp)
-                self.learned()
+            shard = self.config_watcher.shards.get("plan")
+            if self.placement.update(shard):
+                self.log.info("edge: placement policy applied, policy={}", self.placement)
+            document = (shard or {}).get("plan")
+            if document is not None and (self.plan is None or document["Revision"] > self.plan.revision):
+                self._apply_configuration(RoutingTable(document))
             turn = await self.state_board.wait_for_change("parts", turn)
 
-    async def _live_loop(self) -> None:
-        """The first live request after a lull is told at once, not with the next question for news."""
+    def _apply_configuration(self, table: RoutingTable) -> None:
+        self.dispatcher.routing_table = self.config_watcher.plan = table
+        self.limits.update(table.limits)
+        self.log.info("edge: configuration applied, revision={}", table.revision)
+        self.configuration_arrived()
+
+    async def _report_live_requests(self) -> None:
+        """Reports a service's first live request after a pause at once, not with the next question to a control node.
+
+        The stores give slots back to live requests, and must know of them in time.
+        """
         turn = 0
         while True:
             turn = await self.state_board.wait_for_change("live", turn)
-            busy = {s: n for s, n in self.live.now.items() if n}
-            if set(busy) <= set(self.config_watcher.live_totals):
-                continue  # all know already
-            for address in self.config_watcher.source_addresses()[:2]:
-                try:
-                    await self.config_watcher.call(address, "live", {"id": self.settings.node_name, "live": busy}, 0.3)
-                    break
-                except CallError:
-                    self.counters.add("live.untold")
-
-    async def _roll_loop(self) -> None:
+            in_flight = {service: count for service, count in self.live_requests.in_flight.items() if count}
+            if not set(in_flight) <= set(self.config_watcher.live_totals):
+                await self._report_in_flight(in_flight)
+
+    async def _report_in_flight(self, in_flight: dict[str, int]) -> None:
+        for address in self.config_watcher.source_addresses()[:LIVE_REPORT_TARGETS]:
+            try:
+                await self.config_watcher.call(
+                    address, "live", {"id": self.settings.node_name, "live": in_flight}, LIVE_REPORT_S
+                )
+            except CallError:
+                self.counters.add("live.unreported")
+            else:
+                return
+
+    async def _follow_replicas(self) -> None:
+        """Hands changes of the replica registry to the load balancer."""
         turn = 0
         while True:
-            self.load_balancer.fold(self.config_watcher.take_changed_replicas())
+            self.load_balancer.apply_updates(self.config_watcher.take_changed_replicas())
             turn = await self.state_board.wait_for_change("roll", turn)
 
-    async def _readiness(self, request, body):
-        if request.raw_path.split("?")[0] != "/api/readiness":
-            return error_result(2009)
-        return Result(200 if self.state == "ready" else 503)
-
-    async def _front(self, request, body):
-        if self.plan is None:  # just started: the configuration is a moment away
-            await self.state_board.wait_for_change(
-                "parts", self.state_board.version("parts"), self.settings.seconds("ContactMs", 0.1)
-            )
-            await asyncio.sleep(0)
-        plan = self.plan
-        if plan is None:
-            self.counters.add("front.no_plan")
-            return error_result(3001, after_s=self.settings.seconds("ContactMs", 0.05))
-        target = request.raw_path
-        path = target.split("?", 1)[0]
-        if path.startswith(("/api/lots/", "/api/items/")):
-            admitted = self.admission.check(plan, request.headers, plan.open_to_lots(request.headers.get("Host", "")))
-            return await self.batch_jobs.read(request, path, target) if isinstance(admitted, Admitted) else admitted
-        route = plan.route(request.headers.get("Host", ""), path)
-        if route is None:
-            self.counters.add("front.no_lane")
-            return error_result(2006)
-        self.counters.add("front." + route.kind)
-        admitted = self.admission.check(plan, request.headers, route.no_auth)
-        if not isinstance(admitted, Admitted):
-            return admitted
-        heads = list(request.headers.items())
-        if plan.has_tenants:
-            heads = with_tenant(heads, admitted.tenant)
-        if route.kind in ("rollout", "batch"):
-            if request.method != "POST":
-                return error_result(2010)
-            return await self.batch_jobs.hand_in(request, route, body, admitted.tenant)
-        if route.kind == "streaming":
-            return await self.relay.run(request, route, heads, body, admitted.tenant)
-        return await self.forward.run(request, route, heads, body, admitted.tenant)
+    async def _answer_readiness(self, request: BaseRequest, _body: bytes) -> Result:
+        if request.raw_path.split("?")[0] != READINESS_PATH:
+            return error_result(NOT_FOUND_CODE)
+        return Result(200 if self.state == READY else 503)
--- a/archhatch/data_plane/job_handlers.py
+++ b/archhatch/data_plane/job_handlers.py
@@ -1,192 +1,303 @@
-"""Calls about lots: handed on to the store that holds the run."""
+"""Requests about batch jobs: handed on to the store that leads the job's run."""
 
 from __future__ import annotations
 
 import asyncio
+import dataclasses
+from typing import Protocol, cast
 from urllib.parse import parse_qs, urlsplit
 
-from ..runtime import Result, error_result
-from ..runtime.numbers import read_count, read_decimal
-from ..upstream import ECHO
-from ..upstream.headers import HOLD
+from aiohttp.web_request import BaseRequest
+
 from ..jobs import InvalidJobError, Quorum, check_job
-from ..rpc import CallError
+from ..routing import Route, RoutingTable
+from ..rpc import CallError, ConnectionPool
+from ..runtime import Clock, Counters, Result, Settings, error_result
+from ..runtime.numbers import read_count, read_decimal
+from ..upstream import REQUEST_ID_HEADER
+from ..upstream.headers import HOLD_MS_HEADER
+from .job_messages import (
+    EndJobRequest,
+    JobAbsenceRequest,
+    JobAbsenceResponse,
+    JobQuery,
+    JobQueryResponse,
+    ReadItemRequest,
+    ReadJobRequest,
+    SubmitJobRequest,
+    SubmitJobResponse,
+)
+from .store_directory import RunLease, ShardDocuments, newest_leases, registered_stores, store_address
+
+DONE_CODE = 1000
+INVALID_REQUEST_CODE = 2001
+INVALID_JOB_CODE = 2003
+NOT_FOUND_CODE = 2007
+WRONG_PROCESS_CODE = 2008  # the store at that address is not the one that was meant
+METHOD_NOT_ALLOWED_CODE = 2010
+NOT_SURE_CODE = 3004
+NO_LEADER_CODE = 3005
+SUBMISSION_UNCLEAR_CODE = 4003
+# Refusals after which this very call has put nothing anywhere.
+NOT_TAKEN_CODES = frozenset({2008, 3001, 3005, 3008})
+
+MAX_HOLD_S = 5.0  # a read is held no longer, whatever its caller allows
+MAX_UNCLEAR_JOBS = 4096  # submissions without a clear outcome that are remembered
+SUBMIT_CONTACT_SHARE = 0.6  # of ContactMs: how long a submission looks for its leader,
+MIN_SUBMIT_S = 0.4  # ... at least
+MIN_SUBMIT_CALL_S = 0.2
+SUBMIT_RETRY_S = 0.1
+QUERY_CONTACT_SHARE = 0.25  # of ContactMs: how long a question may take beyond its hold
+MIN_QUERY_CALL_S = 0.3
+ABSENCE_CALL_S = 0.4
+RETRY_SUBMISSION_AFTER_S = 0.3
+RETRY_QUERY_AFTER_S = 0.2
+
+
+class ConfigSource(Protocol):
+    """Has the newest configuration.
+
+    Attributes:
+        shards: The shards' documents by name.
+        plan: The configuration's routes; None before the first one came.
+    """
 
-NOT_TAKEN = {2008, 3001, 3005, 3008}  # refusals after which this very call has put nothing anywhere
-LONGEST_HOLD_S = 5.0  # a read is held no longer, whatever its caller allows
-UNCLEAR_KEPT = 4096  # hand-ins without a clear outcome that are remembered
+    shards: ShardDocuments
+    plan: RoutingTable | None
 
 
 class JobHandlers:
-    """Hands lots in, reads them, ends them.
+    """Submits jobs, reads their results and ends them.
 
-    >>> # result = await desk.hand_in(request, route, body, tenant)
+    Attributes:
+        run_by_job: The run of each job that this edge has seen.
+        unclear: Jobs that were sent to a store without a clear answer, oldest first.
     """
 
-    def __init__(self, settings, config_watcher, lines, counters, clock):
-        self.settings, self.config_watcher, self.connections, self.counters, self.clock = (
-            settings,
-            config_watcher,
-            lines,
-            counters,
-            clock,
-        )
-        self.port = settings.internal_ports[0] + 1
-        self.run_of: dict[str, str] = {}
-        self.unclear: dict[str, None] = {}  # lots that were sent to a store without a clear answer, oldest first
-        self.quorum = Quorum.from_settings(settings)
-
-    def _stores(self) -> dict:
-        return (self.config_watcher.shards.get("plan") or {}).get("stores", {})
-
-    def _tenures(self) -> dict:
-        out: dict = {}
-        for value in self.config_watcher.shards.values():
-            for run, ten in (value.get("tenures") or {}).items():
-                if run not in out or ten["term"] > out[run]["term"]:
-                    out[run] = ten
-        return out
-
-    def _addr(self, sid: str | None) -> str | None:
-        s = self._stores().get(sid)
-        return f"{s['ip']}:{self.port}" if s else None
-
-    async def hand_in(self, request, route, body: bytes, tenant: str | None = None) -> Result:
-        """Have a lot taken for a tenant; None where no key is asked for."""
-        job_id = request.headers.get(ECHO, "")
+    def __init__(
+        self,
+        settings: Settings,
+        config_source: ConfigSource,
+        connections: ConnectionPool,
+        counters: Counters,
+        clock: Clock,
+    ) -> None:
+        self._settings, self._config_source = settings, config_source
+        self._connections, self.counters, self._clock = connections, counters, clock
+        self._store_port = settings.internal_ports[0] + 1
+        self.run_by_job: dict[str, str] = {}
+        self.unclear: dict[str, None] = {}
+        self._quorum = Quorum.from_settings(settings)
+
+    def _leases(self) -> dict[str, RunLease]:
+        return newest_leases(self._config_source.shards)
+
+    def _address_of(self, store_id: str | None) -> str | None:
+        return store_address(self._config_source.shards, store_id, self._store_port)
+
+    async def submit(self, request: BaseRequest, route: Route, body: bytes, tenant: str | None = None) -> Result:
+        """Has a job taken by the leader of its run.
+
+        Args:
+            request: The client's request.
+            route: Its route.
+            body: The job.
+            tenant: The tenant that it counts for; None where no key is needed.
+        """
+        job_id = request.headers.get(REQUEST_ID_HEADER, "")
         try:
             model = check_job(job_id, body)
-        except InvalidJobError as e:
-            self.counters.add("lot.malformed")
-            return error_result(2003, str(e))
-        run = self.config_watcher.plan.models().get(model, route.split[0][0])
-        head = {"lot": job_id, "run": run, "host": request.headers.get("Host", ""), "path": request.raw_path}
-        if tenant is not None:
-            head["tenant"] = tenant
-        end = self.clock.now() + max(0.4, self.settings.seconds("ContactMs", 0.6))
-        while self.clock.now() < end:
-            lease = self._tenures().get(run, {})
-            address = self._addr(lease.get("holder"))
-            if address is not None:
-                result = await self._put(address, lease, head, body, max(0.2, end - self.clock.now()))
+        except InvalidJobError as error:
+            self.counters.add("job.malformed")
+            return error_result(INVALID_JOB_CODE, str(error))
+        assert self._config_source.plan is not None  # the request was routed by it
+        message = SubmitJobRequest(
+            store_id="",
+            term=0,
+            job_id=job_id,
+            run_id=self._config_source.plan.service_by_model().get(model, route.traffic_split[0][0]),
+            host=request.headers.get("Host", ""),
+            path=request.raw_path,
+            tenant=tenant,
+        )
+        result = await self._submit_to_leader(message, body)
+        if result is not None:
+            return result
+        # a copy of this job that was sent earlier may still be taken, whatever the later ones met
+        if job_id in self.unclear:
+            self.counters.add("job.unclear")
+            return error_result(SUBMISSION_UNCLEAR_CODE)
+        self.counters.add("job.refused")
+        return error_result(NO_LEADER_CODE, after_s=RETRY_SUBMISSION_AFTER_S)
+
+    async def _submit_to_leader(self, message: SubmitJobRequest, body: bytes) -> Result | None:
+        """Looks for a run's leader until one takes the job or the time is over, which returns None."""
+        deadline = self._clock.now() + max(MIN_SUBMIT_S, self._settings.seconds("ContactMs", SUBMIT_CONTACT_SHARE))
+        while self._clock.now() < deadline:
+            lease = self._leases().get(message.run_id)
+            address = self._address_of(lease.holder_id) if lease is not None else None
+            if lease is not None and address is not None:
+                addressed = dataclasses.replace(message, store_id=lease.holder_id, term=lease.term)
+                timeout_s = max(MIN_SUBMIT_CALL_S, deadline - self._clock.now())
+                result = await self._submit_to(address, addressed, body, timeout_s)
                 if result is not None:
                     return result
-            await asyncio.sleep(0.1)
-        # a copy of this lot that went out earlier may still be taken, whatever the later ones met
-        unclear = job_id in self.unclear
-        self.counters.add("lot.unclear" if unclear else "lot.refused")
-        return error_result(4003) if unclear else error_result(3005, after_s=0.3)
-
-    async def _put(self, address: str, lease: dict, head: dict, body: bytes, timeout_s: float) -> Result | None:
-        """Hand a lot to a run's holder; None if it did not take it, or did not say so."""
-        job_id = head["lot"]
+            await asyncio.sleep(SUBMIT_RETRY_S)
+        return None
+
+    async def _submit_to(self, address: str, message: SubmitJobRequest, body: bytes, timeout_s: float) -> Result | None:
+        """Sends a job to a run's leader; None if it did not take it, or did not say so."""
+        job_id = message.job_id
         try:
-            code, doc, _ = await self.connections.to(address).call(
-                "lot.put", {"to": lease["holder"], "term": lease["term"], **head}, body, timeout_s=timeout_s
+            code, document, _ = await self._connections.to(address).call(
+                "lot.put", message.to_document(), body, timeout_s=timeout_s
             )
-        except CallError as e:
-            if e.sent:
+        except CallError as error:
+            if error.sent:
                 self._note_unclear(job_id)
             return None
-        except asyncio.CancelledError:  # the client left; the store may take the lot all the same
+        except asyncio.CancelledError:  # the client left; the store may take the job all the same
             self._note_unclear(job_id)
             raise
-        if code == 1000 and doc["me"] == lease["holder"]:
-            self.run_of[job_id] = head["run"]
+        if code == DONE_CODE and SubmitJobResponse.from_document(cast(dict, document)).store_id == message.store_id:
+            self.run_by_job[job_id] = message.run_id
             self.unclear.pop(job_id, None)
             return Result(202)
-        if code == 2003:
-            return error_result(2003, str(doc))
-        if code == 2008:
-            self.counters.add("lot.other_life")
-        if code not in NOT_TAKEN:
+        if code == INVALID_JOB_CODE:
+            return error_result(INVALID_JOB_CODE, str(document))
+        if code == WRONG_PROCESS_CODE:
+            self.counters.add("job.wrong_process")
+        if code not in NOT_TAKEN_CODES:
             self._note_unclear(job_id)
         return None
 
     def _note_unclear(self, job_id: str) -> None:
         self.unclear[job_id] = None
-        while len(self.unclear) > UNCLEAR_KEPT:
+        while len(self.unclear) > MAX_UNCLEAR_JOBS:
             del self.unclear[next(iter(self.unclear))]
 
-    async def read(self, request, path: str, target: str) -> Result:
+    async def handle(self, request: BaseRequest, path: str, target: str) -> Result:
+        """Answers a request under /api/lots/ or /api/items/.
+
+        Args:
+            request: The client's request.
+            path: Its path.
+            target: Its whole request target.
+        """
         _, _, kind, job_id = path.split("/", 3)
         query = parse_qs(urlsplit(target).query)
         if kind == "items":
-            if request.method != "GET" or "InstanceId" not in query:
-                return error_result(2010 if request.method != "GET" else 2001)
-            return await self._ask("lot.item", {"lot": job_id, "item": query["InstanceId"][0]}, 0.0)
+            return await self._read_item(request, job_id, query)
         if request.method == "DELETE":
-            return await self._ask("lot.end", {"lot": job_id}, 0.0)
+            return await self._ask(EndJobRequest(store_id="", job_id=job_id), 0.0)
         if request.method != "GET":
-            return error_result(2010)
-        after = read_count(query.get("StartAfter", ["0"])[0])
-        if after is None:
-            return error_result(2001, "StartAfter")
-        hold_ms = read_decimal(request.headers.get(HOLD, "0"))
+            return error_result(METHOD_NOT_ALLOWED_CODE)
+        return await self._read_job(request, job_id, query)
+
+    async def _read_item(self, request: BaseRequest, job_id: str, query: dict[str, list[str]]) -> Result:
+        if request.method != "GET":
+            return error_result(METHOD_NOT_ALLOWED_CODE)
+        if "InstanceId" not in query:
+            return error_result(INVALID_REQUEST_CODE)
+        return await self._ask(ReadItemRequest(store_id="", job_id=job_id, item_id=query["InstanceId"][0]), 0.0)
+
+    async def _read_job(self, request: BaseRequest, job_id: str, query: dict[str, list[str]]) -> Result:
+        start_after = read_count(query.get("StartAfter", ["0"])[0])
+        if start_after is None:
+            return error_result(INVALID_REQUEST_CODE, "StartAfter")
+        hold_ms = read_decimal(request.headers.get(HOLD_MS_HEADER, "0"))
         if hold_ms is None:
-            return error_result(2001, HOLD)
-        hold = min(hold_ms / 1000, LONGEST_HOLD_S)
-        return await self._ask("lot.read", {"lot": job_id, "after": after, "hold": hold}, hold)
-
-    async def _ask(self, verb: str, doc: dict, hold: float) -> Result:
-        """Ask the holders; whoever holds the lot's run answers. 404 only when enough stores lack it."""
-        tens = self._tenures()
-        end = self.clock.now() + hold + self.settings.seconds("ContactMs", 0.25)
-        first = tens.get(self.run_of.get(doc["lot"], ""), {}).get("holder")
-        holders = ([first] if first else []) + sorted({t["holder"] for t in tens.values()} - {first})
-        unsure = False
-        for sid in holders:
-            address = self._addr(sid)
+            return error_result(INVALID_REQUEST_CODE, HOLD_MS_HEADER)
+        hold_s = min(hold_ms / 1000, MAX_HOLD_S)
+        message = ReadJobRequest(store_id="", job_id=job_id, start_after=start_after, hold_s=hold_s)
+        return await self._ask(message, hold_s)
+
+    async def _ask(self, query: JobQuery, hold_s: float) -> Result:
+        """Asks the leaders; the one that leads the job's run answers. 404 only when enough stores lack the job."""
+        deadline = self._clock.now() + hold_s + self._settings.seconds("ContactMs", QUERY_CONTACT_SHARE)
+        is_sure = True
+        for store_id in self._leaders_for(query.job_id):
+            address = self._address_of(store_id)
             if address is None:
-                unsure = True
-                continue
-            try:
-                code, out, raw = await self.connections.to(address).call(
-                    verb, {"to": sid, **doc}, timeout_s=max(0.3, end - self.clock.now())
-                )
-            except CallError:
-                unsure = True
+                is_sure = False
                 continue
-            if code == 2008 or (code == 1000 and not self._from_holder(sid, out)):
-                self.counters.add("lot.other_life")
-                unsure = True
-                continue
-            if code == 1000:
-                self.run_of[doc["lot"]] = out["run"]
-                kind = "application/json" if verb != "lot.item" else "application/octet-stream"
-                return Result(200, raw, [("Content-Type", kind)])
-            if code == 2007 and out == "item":
-                return error_result(2007)
-            unsure = unsure or code != 2007
-        if unsure or not await self._nowhere(doc["lot"]):
-            self.counters.add("lot.not_sure")
-            return error_result(3004, after_s=0.2)
-        return error_result(2007)
-
-    def _from_holder(self, sid: str, out: dict) -> bool:
+            timeout_s = max(MIN_QUERY_CALL_S, deadline - self._clock.now())
+            answer = await self._ask_store(address, dataclasses.replace(query, store_id=store_id), timeout_s)
+            if isinstance(answer, Result):
+                return answer
+            is_sure = is_sure and answer
+        if not is_sure or not await self._is_absent(query.job_id):
+            self.counters.add("job.not_sure")
+            return error_result(NOT_SURE_CODE, after_s=RETRY_QUERY_AFTER_S)
+        return error_result(NOT_FOUND_CODE)
+
+    def _leaders_for(self, job_id: str) -> list[str]:
+        """The stores that lead runs, the one that leads the job's run first, if it is known."""
+        leases = self._leases()
+        lease = leases.get(self.run_by_job.get(job_id, ""))
+        first = lease.holder_id if lease is not None else None
+        others = sorted({lease.holder_id for lease in leases.values()} - {first})
+        return ([first] if first else []) + others
+
+    async def _ask_store(self, address: str, query: JobQuery, timeout_s: float) -> Result | bool:
+        """Asks one store; returns its answer or, if it has none, whether it surely does not lead the job's run."""
+        try:
+            code, document, body = await self._connections.to(address).call(
+                query.verb, query.to_document(), timeout_s=timeout_s
+            )
+        except CallError:
+            return False
+        response = JobQueryResponse.from_document(cast(dict, document)) if code == DONE_CODE else None
+        if code == WRONG_PROCESS_CODE or (response is not None and not self._is_from_leader(query.store_id, response)):
+            self.counters.add("job.wrong_process")
+            return False
+        if response is not None:
+            self.run_by_job[query.job_id] = response.run_id
+            return Result(200, body, [("Content-Type", query.content_type)])
+        if code == NOT_FOUND_CODE and document == "item":
+            return error_result(NOT_FOUND_CODE)
+        return code == NOT_FOUND_CODE
+
+    def _is_from_leader(self, store_id: str, response: JobQueryResponse) -> bool:
         """Whether an answer comes from the store that was asked, under no older term than the newest one known."""
-        return out["me"] == sid and out["term"] >= self._tenures().get(out["run"], {}).get("term", 0)
+        lease = self._leases().get(response.run_id)
+        return response.store_id == store_id and response.term >= (lease.term if lease is not None else 0)
 
-    async def _nowhere(self, job_id: str) -> bool:
-        """Whether so many stores lack the lot that it cannot have been accepted. Members that only the stores know of
-        count too: the news of an edge that stood still are old."""
-        stores = self._stores()
-        words = await asyncio.gather(*[self._lacks(f"{s['ip']}:{self.port}", sid, job_id) for sid, s in stores.items()])
-        members = dict(stores)
-        for word in words:
-            for sid, m in (word or {"stores": {}})["stores"].items():
-                members.setdefault(sid, m)
-        return self.quorum.has_heard_enough(
-            {sid for sid, word in zip(stores, words) if word and word["lacks"]}, members
+    async def _is_absent(self, job_id: str) -> bool:
+        """Whether so many stores lack the job that it cannot have been accepted.
+
+        Members that only the stores know of count too: the configuration of an edge whose process stood still is old.
+        """
+        stores = registered_stores(self._config_source.shards)
+        responses = await asyncio.gather(
+            *[
+                self._ask_absence(f"{store['ip']}:{self._store_port}", store_id, job_id)
+                for store_id, store in stores.items()
+            ]
         )
+        members = dict(stores)
+        for response in responses:
+            if response is not None:
+                for store_id, member in response.stores.items():
+                    members.setdefault(store_id, member)
+        lacking = {
+            store_id
+            for store_id, response in zip(stores, responses, strict=True)
+            if response is not None and response.is_absent
+        }
+        return self._quorum.has_heard_enough(lacking, members)
 
-    async def _lacks(self, address: str, sid: str, job_id: str) -> dict | None:
+    async def _ask_absence(self, address: str, store_id: str, job_id: str) -> JobAbsenceResponse | None:
+        """Asks a store whether it lacks a job; None if the store that was meant gave no answer."""
+        message = JobAbsenceRequest(store_id, job_id)
         try:
-            code, out, _ = await self.connections.to(address).call(
-                "shelf.lacks", {"to": sid, "lot": job_id}, timeout_s=0.4
+            code, document, _ = await self._connections.to(address).call(
+                "shelf.lacks", message.to_document(), timeout_s=ABSENCE_CALL_S
             )
         except CallError:
             return None
-        if code == 2008 or (code == 1000 and out["me"] != sid):
-            self.counters.add("lot.other_life")
-        return out if code == 1000 and out["me"] == sid else None
+        response = JobAbsenceResponse.from_document(cast(dict, document)) if code == DONE_CODE else None
+        is_wrong_process = response is not None and response.store_id != store_id
+        if code == WRONG_PROCESS_CODE or is_wrong_process:
+            self.counters.add("job.wrong_process")
+        return None if is_wrong_process else response
--- a/archhatch/data_plane/live_requests.py
+++ b/archhatch/data_plane/live_requests.py
@@ -1,44 +1,68 @@
-"""What live requests this edge has under way, by service; the stores give places back by it."""
+"""This edge's live requests in flight by service; the stores give slots back to them."""
 
 from __future__ import annotations
 
-LEAST = 0.01  # what is told of a service whose requests took hardly any time
+from ..runtime import Clock, StateBoard
 
+MIN_AVERAGE = 0.01  # reported of a service whose requests took hardly any time
+MIN_PERIOD_S = 1e-3  # shortest time that an average is taken over
 
-class Live:
-    """enter() and leave() around each live request; tally() gives how many were under way on average since the last.
 
-    >>> from ..runtime import StateBoard, Clock
-    >>> v = Live(StateBoard(), Clock(), 1.0); v.enter("s"); v.leave("s"); sorted(v.tally()), v.tally()
+class LiveRequestTracker:
+    """Counts live requests, and their average number since the last report.
+
+    >>> tracker = LiveRequestTracker(StateBoard(), Clock(), 1.0)
+    >>> tracker.begin("s"); tracker.finish("s")
+    >>> sorted(tracker.tally()), tracker.tally()
     (['s'], {})
+
+    Attributes:
+        in_flight: Requests in flight by service.
     """
 
-    def __init__(self, state_board, clock, quiet_s: float):
-        self.state_board, self.clock, self.quiet_s = state_board, clock, quiet_s
-        self.now: dict[str, int] = {}
-        self.area: dict[str, float] = {}  # request seconds since the last tally
-        self.last: dict[str, float] = {}
-        self.tallied = clock.now()
-
-    def _move(self, service: str, by: int) -> None:
-        at = self.clock.now()
-        n, since = self.now.get(service, 0), max(self.tallied, self.last.get(service, self.tallied))
-        self.area[service] = self.area.get(service, 0.0) + n * (at - since)
-        self.last[service], self.now[service] = at, n + by
-
-    def enter(self, service: str) -> None:
-        if self.clock.now() - self.last.get(service, float("-inf")) > self.quiet_s and not self.now.get(service):
-            self.state_board.notify("live")  # the first after a lull: say so at once
-        self._move(service, 1)
-
-    def leave(self, service: str) -> None:
-        self._move(service, -1)
-
-    def tally(self) -> dict:
-        at = self.clock.now()
-        for service in [s for s, n in self.now.items() if n]:
-            self._move(service, 0)
-        took = max(1e-3, at - self.tallied)
-        out = {s: max(LEAST, a / took) for s, a in self.area.items()}
-        self.area, self.tallied = {}, at
-        return out
+    def __init__(self, state_board: StateBoard, clock: Clock, quiet_s: float) -> None:
+        """Starts without requests.
+
+        Args:
+            state_board: Its topic "live" is touched when a service gets its first request after a pause.
+            clock: The steady clock.
+            quiet_s: How long a service must have had no requests for that, in seconds.
+        """
+        self._state_board, self._clock, self._quiet_s = state_board, clock, quiet_s
+        self.in_flight: dict[str, int] = {}
+        self._request_seconds: dict[str, float] = {}  # since the last report
+        self._changed_at: dict[str, float] = {}
+        self._reported_at = clock.now()
+
+    def begin(self, service: str) -> None:
+        """Counts a request that begins."""
+        quiet_for_s = self._clock.now() - self._changed_at.get(service, float("-inf"))
+        if quiet_for_s > self._quiet_s and not self.in_flight.get(service):
+            self._state_board.notify("live")  # the stores must give slots back at once
+        self._change(service, 1)
+
+    def finish(self, service: str) -> None:
+        """Counts a request that ended."""
+        self._change(service, -1)
+
+    def tally(self) -> dict[str, float]:
+        """Returns how many requests of each service were in flight on average since the last call."""
+        now = self._clock.now()
+        for service in [service for service, count in self.in_flight.items() if count]:
+            self._change(service, 0)
+        period_s = max(MIN_PERIOD_S, now - self._reported_at)
+        averages = {
+            service: max(MIN_AVERAGE, request_seconds / period_s)
+            for service, request_seconds in self._request_seconds.items()
+        }
+        self._request_seconds = {}
+        self._reported_at = now
+        return averages
+
+    def _change(self, service: str, by: int) -> None:
+        now = self._clock.now()
+        count = self.in_flight.get(service, 0)
+        since = max(self._reported_at, self._changed_at.get(service, self._reported_at))
+        self._request_seconds[service] = self._request_seconds.get(service, 0.0) + count * (now - since)
+        self._changed_at[service] = now
+        self.in_flight[service] = count + by
--- a/archhatch/data_plane/relay.py
+++ b/archhatch/data_plane/relay.py
@@ -1,236 +1,325 @@
-"""The way of a stream: events are passed on as they come; a resumable one goes on at another replica."""
+"""Relaying of streams: events are passed on as they come; a resumable stream goes on at another replica."""
 
 from __future__ import annotations
 
-import asyncio
 import enum
 
 import aiohttp
+from aiohttp.web_request import BaseRequest
 from aiohttp.web_response import StreamResponse
 
-from ..runtime import Result, error_result
-from ..runtime.numbers import read_decimal
+from ..exceptions import ArchhatchError
+from ..routing import Route
+from ..runtime import Clock, Counters, Result, error_result
 from ..upstream import (
-    AGAIN,
-    DEADLINE,
-    ECHO,
-    ONCE,
-    PROMISES,
-    SEAL,
-    Answer,
+    NOT_EXECUTED_STATUSES,
+    REPLY_SEAL_HEADER,
+    AttemptResult,
+    Delivery,
+    Execution,
+    Headers,
+    LoadBalancer,
     NotSentError,
-    Ran,
+    ReplicaEndpoint,
     StaleConnectionError,
-    belongs,
-    has_end,
-    pass_on,
-    says_not_run,
+    UpstreamClient,
+    declares_not_executed,
+    end_to_end_headers,
+    has_body_framing,
+    is_response_to,
 )
-from ..upstream.event_stream import EventReader, follows
-from ..upstream.headers import LAST_ID
+from ..upstream.attempt_result import FIRST_REDIRECT_STATUS, FIRST_SERVER_ERROR_STATUS
+from ..upstream.event_stream import EventReader, is_next_event
+from ..upstream.headers import LAST_EVENT_ID_HEADER
+from ..usage.counter import UsageSender
+from .forward import MAX_RETRY_AFTER_S, MAY_HAVE_RUN_CODE, RETRY_AFTER_SHARE
+from .live_requests import LiveRequestTracker
+from .request_terms import RequestTerms, read_terms
 
+_LAST_EVENT_ID_LOWER = LAST_EVENT_ID_HEADER.lower()
 
-class InvalidAnswerError(ValueError):
-    """What came is not the answer of this request, or not all of it."""
 
+class InvalidResponseError(ArchhatchError, ValueError):
+    """What came is not the response to this request, or not all of it."""
 
-class Relocated(ValueError):
+
+class StreamRelocatedError(ArchhatchError, ValueError):
     """A planned move takes the stream elsewhere: it goes on there after the last event that was passed on."""
 
 
-class _After(enum.Enum):
-    """What follows a send."""
+class _AfterAttempt(enum.Enum):
+    """What follows an attempt."""
 
     DONE = "done"  # the client has its answer, or will get it now
     NEXT = "next"  # another replica may be asked
-    STOP = "stop"  # nobody else may
+    STOP = "stop"  # no other may
 
 
-class Relay:
-    """Runs one request of a streaming lane.
+class StreamRelay:
+    """Relays requests of streaming routes."""
 
-    >>> # result = await relay.run(request, route, heads, body)
-    """
+    def __init__(
+        self,
+        upstream_client: UpstreamClient,
+        load_balancer: LoadBalancer,
+        clock: Clock,
+        counters: Counters,
+        live_requests: LiveRequestTracker,
+        usage: UsageSender | None = None,
+    ) -> None:
+        self.upstream_client, self.load_balancer = upstream_client, load_balancer
+        self.clock, self.counters = clock, counters
+        self.live_requests, self.usage = live_requests, usage
 
-    def __init__(self, upstream_client, load_balancer, clock, counters, live, usage=None):
-        self.usage = usage
-        self.upstream_client, self.load_balancer, self.clock, self.counters, self.live = (
-            upstream_client,
-            load_balancer,
-            clock,
-            counters,
-            live,
-        )
+    async def relay(
+        self, request: BaseRequest, route: Route, headers: Headers, body: bytes, tenant: str | None = None
+    ) -> Result | StreamResponse:
+        """Relays a stream; returns what its client is to be sent or, after the first event, was sent.
 
-    async def run(self, request, route, heads: list, body: bytes, tenant: str | None = None):
-        """Pass a stream on; what the client's connection is to send or, after the first event, has sent."""
-        allowed_ms = read_decimal(request.headers.get(DEADLINE, "60000"))
-        if allowed_ms is None:
-            return error_result(2001, DEADLINE)
-        rid = request.headers.get(ECHO, "")
-        if not rid:
-            return error_result(2001, f"{ECHO} is missing")
-        end = self.clock.now() + min(allowed_ms / 1000, route.timeout_s)
-        stream = _Stream(self, request, route, heads, body, rid, end, tenant)
-        self.live.enter(stream.service)
+        Args:
+            request: The client's request.
+            route: Its route.
+            headers: The headers for the replica.
+            body: Its body.
+            tenant: The tenant that its usage counts for; None where no key is needed.
+        """
+        terms = read_terms(request, route)
+        if isinstance(terms, Result):
+            return terms
+        stream = _RelayedStream(self, request, route, headers, body, terms, tenant)
+        self.live_requests.begin(stream.service)
         try:
             return await stream.run()
         finally:
-            self.live.leave(stream.service)
+            self.live_requests.finish(stream.service)
 
 
-class _Stream:
+class _RelayedStream:
     """One request's stream, over the replicas that make it."""
 
-    def __init__(self, relay, request, route, heads, body, rid, end, tenant):
-        self.tenant, self.counted = tenant, False
-        self.relay, self.request, self.route, self.heads, self.body = relay, request, route, heads, body
-        self.rid, self.end, self.service = rid, end, route.pick()
-        self.mode = AGAIN if route.resumable else ONCE
-        self.out: StreamResponse | None = None  # the answer, from its first head on
-        self.answer: Result | None = None  # an answer that is no stream
-        self.last: str | None = None  # the id of the last event that was passed on
-        self.events = 0
-        self.may_have_run = False
-        self.sends_left = route.sends
-
-    async def run(self):
-        """Ask one replica after the other, as far as that is allowed."""
-        route, tried = self.route, set()
-        while self.sends_left:
-            self.sends_left -= 1
-            now = self.relay.clock.now()
-            line = self.relay.load_balancer.pick(self.service, tried, now, route, sure=not route.resumable)
-            if line is None or now >= self.end:
+    __slots__ = (
+        "_relay",
+        "_request",
+        "_route",
+        "_headers",
+        "_body",
+        "_terms",
+        "_tenant",
+        "_deadline",
+        "_delivery",
+        "_client_stream",
+        "_whole_answer",
+        "_last_event_id",
+        "_event_count",
+        "_may_have_run",
+        "_attempts_left",
+        "_is_usage_counted",
+        "service",
+    )
+
+    def __init__(  # noqa: PLR0913, PLR0917 - the parts of one request
+        self,
+        relay: StreamRelay,
+        request: BaseRequest,
+        route: Route,
+        headers: Headers,
+        body: bytes,
+        terms: RequestTerms,
+        tenant: str | None,
+    ) -> None:
+        self._relay = relay
+        self._request, self._headers, self._body = request, headers, body
+        self._route, self._terms, self._tenant = route, terms, tenant
+        self._deadline = relay.clock.now() + terms.timeout_s
+        self._delivery = Delivery.AT_LEAST_ONCE if route.is_resumable else Delivery.AT_MOST_ONCE
+        self._client_stream: StreamResponse | None = None  # from the first response's headers on
+        self._whole_answer: Result | None = None  # an answer that is no stream
+        self._last_event_id: str | None = None  # of the last event that was passed on
+        self._event_count = 0
+        self._may_have_run = False
+        self._attempts_left = route.max_attempts
+        self._is_usage_counted = False
+        self.service = route.choose_service()
+
+    async def run(self) -> Result | StreamResponse:
+        """Asks one replica after the other, as far as that is allowed."""
+        route = self._route
+        tried: set[str] = set()
+        while self._attempts_left:
+            self._attempts_left -= 1
+            now = self._relay.clock.now()
+            replica = self._relay.load_balancer.select_replica(
+                self.service, tried, now, route, runs_once=not route.is_resumable
+            )
+            if replica is None or now >= self._deadline:
                 break
-            tried.add(line.iid)
-            line.under_way += 1
+            tried.add(replica.instance_id)
+            replica.in_flight += 1
             try:
-                after = await self._send(line)
+                after = await self._attempt(replica)
             finally:
-                line.under_way -= 1
-            if after is _After.DONE:
-                return self.out if self.out is not None else self.answer
-            if after is _After.STOP:
+                replica.in_flight -= 1
+            if after is _AfterAttempt.DONE:
+                return self._answer()
+            if after is _AfterAttempt.STOP:
                 break
         return self._give_up()
 
-    def _give_up(self):
-        if self.out is not None:
-            if self.request.transport is not None:
-                self.request.transport.abort()  # an answer that ends early must not look whole
-            return self.out
-        if self.may_have_run:
-            return error_result(4001)
+    def _answer(self) -> Result | StreamResponse:
+        answer = self._client_stream if self._client_stream is not None else self._whole_answer
+        assert answer is not None  # an attempt that is DONE left one of them
+        return answer
+
+    def _give_up(self) -> Result | StreamResponse:
+        if self._client_stream is not None:
+            if self._request.transport is not None:
+                self._request.transport.abort()  # an answer that ends early must not look whole
+            return self._client_stream
+        if self._may_have_run:
+            return error_result(MAY_HAVE_RUN_CODE)
         return error_result(
-            self.relay.load_balancer.refusal(self.service, self.route), after_s=min(0.25, self.route.aim_s * 0.5)
+            self._relay.load_balancer.refusal_code(self.service, self._route),
+            after_s=min(MAX_RETRY_AFTER_S, self._route.latency_target_s * RETRY_AFTER_SHARE),
         )
 
-    async def _send(self, line) -> _After:
-        heads = [(k, v) for k, v in self.heads if self.last is None or k.lower() != LAST_ID.lower()]
-        if self.last is not None:
-            heads.append((LAST_ID, self.last))
-        clock = self.relay.clock
+    async def _attempt(self, replica: ReplicaEndpoint) -> _AfterAttempt:
         try:
-            async with self.relay.upstream_client.ask(
-                line.address,
-                line.iid,
-                self.request.method,
-                self.request.raw_path,
-                heads,
-                self.body,
-                self.end - clock.now(),
-                self.mode,
-                lambda: clock.now() < self.end,
+            async with self._relay.upstream_client.request(
+                replica.address,
+                replica.instance_id,
+                self._request.method,
+                self._request.raw_path,
+                self._headers_for_attempt(),
+                self._body,
+                self._deadline - self._relay.clock.now(),
+                self._delivery,
+                self._may_send,
             ) as response:
-                return await self._take(line, response)
-        except (aiohttp.ClientError, OSError, ValueError, asyncio.TimeoutError) as e:
-            return self._broke_off(line, e)
+                return await self._take_response(replica, response)
+        except (aiohttp.ClientError, OSError, ValueError, TimeoutError) as error:
+            return self._take_failure(replica, error)
+
+    def _headers_for_attempt(self) -> Headers:
+        """The client's headers; after events were passed on, with the last of their ids in place of the client's."""
+        if self._last_event_id is None:
+            return self._headers
+        headers = [(name, value) for name, value in self._headers if name.lower() != _LAST_EVENT_ID_LOWER]
+        headers.append((LAST_EVENT_ID_HEADER, self._last_event_id))
+        return headers
 
-    async def _take(self, line, response) -> _After:
-        """Take up what one replica answers."""
-        if not belongs(response, self.rid, self.mode):
+    def _may_send(self) -> bool:
+        """Whether an attempt that waited for its connection may still be written."""
+        return self._relay.clock.now() < self._deadline
+
+    async def _take_response(self, replica: ReplicaEndpoint, response: aiohttp.ClientResponse) -> _AfterAttempt:
+        if not is_response_to(response, self._terms.request_id, self._delivery):
             response.close()
-            raise InvalidAnswerError("answer of another request")
-        if response.status >= 300:
-            return await self._take_whole(line, response)
-        self.may_have_run = True
-        if SEAL not in response.headers or "Content-Encoding" in response.headers or not has_end(response):
+            raise InvalidResponseError("answer of another request")
+        if response.status >= FIRST_REDIRECT_STATUS:
+            return await self._take_whole(replica, response)
+        self._may_have_run = True
+        if not _is_sealed_stream(response):
             response.close()
-            raise InvalidAnswerError("no seal, an encoding, or nothing that tells where it ends")
-        if self.out is None:
-            self.out = StreamResponse(status=response.status, headers=pass_on(response.headers.items()))
-            self.out.enable_chunked_encoding()
-            await self.out.prepare(self.request)
-        await self._pass_events(line, response)
-        self.relay.load_balancer.note(line, "served", self.relay.clock.now())
-        await self.out.write_eof()
-        return _After.DONE
-
-    async def _pass_events(self, line, response) -> None:
-        reader, resumed = EventReader(), self.events > 0
-        async for raw in response.content.iter_any():
-            for event in reader.feed(raw):
-                if resumed and not follows(self.last, event.id):
-                    raise InvalidAnswerError("a stream that was resumed gives an event again")
-                self.last = event.id or self.last
-                self.events += 1
-                self._count()
-                await self.out.write(event.raw)
-                if self._is_to_move(line):
-                    raise Relocated(line.zone)
-        if reader.rest:
-            raise InvalidAnswerError("stream ended inside an event")
-
-    def _count(self) -> None:
-        """Count the request for its tenant's usage, at its first event."""
-        if not self.counted and self.tenant is not None and self.relay.usage is not None:
-            self.counted = True
-            self.relay.usage.record_request(self.tenant, self.relay.clock.now())
-
-    def _is_to_move(self, line) -> bool:
+            raise InvalidResponseError("no seal, an encoding, or nothing that tells where it ends")
+        client_stream = self._client_stream
+        if client_stream is None:
+            client_stream = await self._open_client_stream(response)
+        await self._pass_events(replica, response, client_stream)
+        self._relay.load_balancer.record_outcome(replica, "served", self._relay.clock.now())
+        await client_stream.write_eof()
+        return _AfterAttempt.DONE
+
+    async def _open_client_stream(self, response: aiohttp.ClientResponse) -> StreamResponse:
+        """Begins the client's answer with the headers of the first response."""
+        stream = StreamResponse(status=response.status, headers=end_to_end_headers(response.headers.items()))
+        self._client_stream = stream
+        stream.enable_chunked_encoding()
+        await stream.prepare(self._request)
+        return stream
+
+    async def _pass_events(
+        self, replica: ReplicaEndpoint, response: aiohttp.ClientResponse, client_stream: StreamResponse
+    ) -> None:
+        reader = EventReader()
+        is_resumed = self._event_count > 0
+        async for chunk in response.content.iter_any():
+            for event in reader.feed(chunk):
+                if is_resumed and not is_next_event(self._last_event_id, event.id):
+                    raise InvalidResponseError("a stream that was resumed gives an event again")
+                self._last_event_id = event.id or self._last_event_id
+                self._event_count += 1
+                self._count_usage()
+                await client_stream.write(event.raw)
+                if self._should_relocate(replica):
+                    raise StreamRelocatedError(replica.zone)
+        if reader.remainder:
+            raise InvalidResponseError("stream ended inside an event")
+
+    def _count_usage(self) -> None:
+        """Counts the request for its tenant's usage, at its first event."""
+        if self._is_usage_counted or self._tenant is None or self._relay.usage is None:
+            return
+        self._is_usage_counted = True
+        self._relay.usage.record_request(self._tenant, self._relay.clock.now())
+
+    def _should_relocate(self, replica: ReplicaEndpoint) -> bool:
         """Whether a planned move takes the stream away from its replica, and it can go on at another."""
-        route, load_balancer = self.route, self.relay.load_balancer
-        if not (route.resumable and self.sends_left and load_balancer.placement.is_leaving(route, line.zone)):
+        route, load_balancer = self._route, self._relay.load_balancer
+        if not (route.is_resumable and self._attempts_left and load_balancer.placement.is_leaving(route, replica.zone)):
             return False
-        return load_balancer.has_other(self.service, line.iid, route)
-
-    async def _take_whole(self, line, response) -> _After:
-        """An answer that is no stream; only once it is whole, it proves what it says."""
-        turned_away = says_not_run(response)
-        self.may_have_run = self.may_have_run or not turned_away
-        data = await response.read()
-        if not has_end(response):
-            raise InvalidAnswerError("nothing tells where its body ends")
-        now = self.relay.clock.now()
-        if turned_away:
-            self.relay.load_balancer.judge(line, Answer(Ran.NO, response.status), now, 0.0, 1.0)
-            return _After.NEXT
-        self.relay.load_balancer.note(line, "faulted" if response.status >= 500 else "served", now)
-        if self.out is not None:
-            return _After.STOP
-        self.answer = self._whole_answer(response, data)
-        return _After.DONE
-
-    def _whole_answer(self, response, data: bytes) -> Result:
-        if response.status in PROMISES:  # it bears no proof, and passed on it would be a promise
-            self.relay.counters.add("front.no_proof")
-            return error_result(4001)
-        return Result(response.status, data, pass_on(response.headers.items()))
-
-    def _broke_off(self, line, fault: Exception) -> _After:
-        """What a send that ended without a whole answer leaves."""
-        if self.request.transport is None or self.request.transport.is_closing():
-            self.answer = error_result(4001)  # it is the client that left
-            return _After.DONE
-        unreached = isinstance(fault, (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError))
-        if not unreached and not isinstance(fault, NotSentError):
-            self.may_have_run = True
-        if isinstance(fault, Relocated):
-            self.relay.counters.add("stream.moved_on")
-            return _After.NEXT
-        if not isinstance(fault, (StaleConnectionError, NotSentError)):
-            self.relay.load_balancer.note(line, "vanished" if unreached else "faulted", self.relay.clock.now())
-        if self.may_have_run and not self.route.resumable:
-            return _After.STOP
-        return _After.NEXT if self.last is not None or not self.events else _After.STOP
+        return load_balancer.has_alternative(self.service, replica.instance_id, route)
+
+    async def _take_whole(self, replica: ReplicaEndpoint, response: aiohttp.ClientResponse) -> _AfterAttempt:
+        """Takes a response that is no stream; only once it is whole, it proves what it says."""
+        is_turned_away = declares_not_executed(response)
+        self._may_have_run = self._may_have_run or not is_turned_away
+        body = await response.read()
+        if not has_body_framing(response):
+            raise InvalidResponseError("nothing tells where its body ends")
+        now = self._relay.clock.now()
+        if is_turned_away:
+            result = AttemptResult(Execution.NOT_EXECUTED, response.status)
+            self._relay.load_balancer.record_result(replica, result, now, 0.0, 1.0)
+            return _AfterAttempt.NEXT
+        outcome = "faulted" if response.status >= FIRST_SERVER_ERROR_STATUS else "served"
+        self._relay.load_balancer.record_outcome(replica, outcome, now)
+        if self._client_stream is not None:
+            return _AfterAttempt.STOP
+        self._whole_answer = self._pass_on(response, body)
+        return _AfterAttempt.DONE
+
+    def _pass_on(self, response: aiohttp.ClientResponse, body: bytes) -> Result:
+        """A replica's answer for the client; a refusal without proof would be a promise, and is not passed on."""
+        if response.status in NOT_EXECUTED_STATUSES:
+            self._relay.counters.add("front.no_proof")
+            return error_result(MAY_HAVE_RUN_CODE)
+        return Result(response.status, body, end_to_end_headers(response.headers.items()))
+
+    def _take_failure(self, replica: ReplicaEndpoint, error: Exception) -> _AfterAttempt:
+        """Takes an attempt that ended without a whole response."""
+        if self._request.transport is None or self._request.transport.is_closing():
+            self._whole_answer = error_result(MAY_HAVE_RUN_CODE)  # it is the client that left
+            return _AfterAttempt.DONE
+        is_unreached = isinstance(error, (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError))
+        if not is_unreached and not isinstance(error, NotSentError):
+            self._may_have_run = True
+        if isinstance(error, StreamRelocatedError):
+            self._relay.counters.add("stream.moved_on")
+            return _AfterAttempt.NEXT
+        if not isinstance(error, (StaleConnectionError, NotSentError)):  # these say nothing of the replica's health
+            outcome = "vanished" if is_unreached else "faulted"
+            self._relay.load_balancer.record_outcome(replica, outcome, self._relay.clock.now())
+        if self._may_have_run and not self._route.is_resumable:
+            return _AfterAttempt.STOP
+        if self._event_count and self._last_event_id is None:  # nothing says where the stream would go on
+            return _AfterAttempt.STOP
+        return _AfterAttempt.NEXT
+
+
+def _is_sealed_stream(response: aiohttp.ClientResponse) -> bool:
+    """Whether a success bears the engine's seal, as it made it, and states where it ends."""
+    return (
+        REPLY_SEAL_HEADER in response.headers
+        and "Content-Encoding" not in response.headers
+        and has_body_framing(response)
+    )
--- a/archhatch/data_plane/store_proxies.py
+++ b/archhatch/data_plane/store_proxies.py
@@ -1,106 +1,138 @@
 """Rare requests go by a store of this zone, on a connection to a replica that the store keeps anyway.
 
-A new connection is dear to replicas, and one that is used once in a while is closed before its next use. Stores send
+A new connection is costly for replicas, and one that is used once in a while is closed before its next use. Stores send
 reward calls all the time, so theirs are warm; calls between nodes are cheap. A node whose own requests come often
 enough to keep a connection warm sends them itself: what a store may be asked for is bounded by each edge's own rate.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass
+from typing import cast
 
 from ..jobs import active_members
 from ..membership import rank
-from ..rpc import CallError
-from ..upstream import Answer, Ran
+from ..rpc import CallError, ConnectionPool
+from ..runtime import Counters
+from ..upstream import AttemptResult, Execution
+from ..upstream.proxied_request import ProxiedRequest, ProxiedResponse
+from .store_directory import ShardSource, lease_holders, registered_stores
 
-RARE = 12.0  # requests of a service within HALF_S, about, from which this node keeps connections of its own
-HALF_S = 4.0  # after so long a request counts half
-NOT_RUN = {2006, 2008, 2009, 3002, 3004, 3005, 3101}  # refusals of a store that sent nothing
+DONE_CODE = 1000
+NO_REPLICA_CODE = 3002
+# Refusals of a store that sent nothing.
+NOT_SENT_CODES = frozenset({2006, 2008, 2009, 3002, 3004, 3005, 3101})
+
+FREQUENT_REQUESTS = 12.0  # decayed count of a service's requests from which this node keeps connections of its own
+HALF_LIFE_S = 4.0  # after so long a request counts half
 
 
 @dataclass(frozen=True, slots=True)
 class Proxy:
-    """A store that may send a request."""
+    """A store that may send a request.
+
+    Attributes:
+        store_id: Its id.
+        address: Its address for calls between nodes.
+    """
 
-    sid: str
+    store_id: str
     address: str
 
 
 @dataclass(slots=True)
-class _Rate:
-    """Requests of a service lately; older ones count less."""
+class _RequestRate:
+    """A count of requests that decays exponentially."""
 
     count: float = 0.0
-    at: float = float("-inf")
+    counted_at: float = float("-inf")
 
     def add(self, now: float) -> float:
-        """Count one more; how many there were lately, this one included."""
-        self.count = self.count * 0.5 ** ((now - self.at) / HALF_S) + 1.0
-        self.at = now
+        """Counts one more; returns the count, this one included."""
+        self.count = self.count * 0.5 ** ((now - self.counted_at) / HALF_LIFE_S) + 1.0
+        self.counted_at = now
         return self.count
 
 
 class StoreProxies:
-    """Chooses a store for a rare request, and has it sent.
-
-    >>> # proxy = proxies.choose("service", clock.now())
-    >>> # answer = await proxies.send(proxy, request_doc, body, timeout_s)
-    """
-
-    def __init__(self, config_watcher, lines, port: int, zone: str, rest_s: float, counters):
-        self.config_watcher, self.connections, self.port, self.zone, self.rest_s, self.counters = (
-            config_watcher,
-            lines,
-            port,
-            zone,
-            rest_s,
-            counters,
-        )
-        self._rates: dict[str, _Rate] = {}
-        self._resting: dict[str, float] = {}  # store -> until when it is not asked
-
-    def rare(self, service: str, now: float) -> bool:
-        """Count a request of a service; whether they come too rarely to keep a connection for them."""
-        return self._rates.setdefault(service, _Rate()).add(now) < RARE
+    """Chooses a store for a rare request, and has it sent."""
+
+    def __init__(
+        self,
+        shard_source: ShardSource,
+        connections: ConnectionPool,
+        port: int,
+        zone: str,
+        rest_s: float,
+        counters: Counters,
+    ) -> None:
+        """Starts without requests.
+
+        Args:
+            shard_source: Names the stores and which of them lead runs.
+            connections: Connections for calls between nodes.
+            port: The stores' port for calls between nodes.
+            zone: This node's zone.
+            rest_s: For how long a store that failed is not asked, in seconds.
+            counters: Where requests and refusals are counted.
+        """
+        self._shard_source, self._connections = shard_source, connections
+        self._port, self._zone, self._rest_s = port, zone, rest_s
+        self._counters = counters
+        self._rates: dict[str, _RequestRate] = {}
+        self._suspended_until: dict[str, float] = {}  # by store
+
+    def record_request(self, service: str, now: float) -> bool:
+        """Counts a request of a service; returns whether they come too rarely to keep a connection for them."""
+        return self._rates.setdefault(service, _RequestRate()).add(now) < FREQUENT_REQUESTS
 
     def choose(self, service: str, now: float) -> Proxy | None:
-        """The store of this zone for a service, the same for all edges of the zone; one that leads runs has other
-        work."""
-        register = self.config_watcher.shards.get("plan") or {}
-        holders = {
-            lease["holder"]
-            for value in self.config_watcher.shards.values()
-            for lease in (value.get("tenures") or {}).values()
-        }
-        here = {
-            sid: member
-            for sid, member in active_members(register.get("stores", {})).items()
-            if member["zone"] == self.zone and sid not in holders and self._resting.get(sid, now) <= now
+        """Returns the store of this zone for a service, the same for all edges of the zone.
+
+        A store that leads runs has other work.
+        """
+        shards = self._shard_source.shards
+        leaders = lease_holders(shards)
+        candidates = {
+            store_id: store
+            for store_id, store in active_members(registered_stores(shards)).items()
+            if store["zone"] == self._zone
+            and store_id not in leaders
+            and self._suspended_until.get(store_id, now) <= now
         }
-        if not here:
+        if not candidates:
             return None
-        sid = rank(service, list(here))[0]
-        return Proxy(sid, f"{here[sid]['ip']}:{self.port}")
-
-    def rest(self, proxy: Proxy, now: float) -> None:
-        """Do not ask a store for a while."""
-        self._resting[proxy.sid] = now + self.rest_s
-
-    async def send(self, proxy: Proxy, doc: dict, body: bytes, timeout_s: float, now) -> Answer:
-        """Have a store send a request; what its replica answered. now() gives the time."""
-        self.counters.add("send.by_store")
+        store_id = rank(service, list(candidates))[0]
+        return Proxy(store_id, f"{candidates[store_id]['ip']}:{self._port}")
+
+    def suspend(self, proxy: Proxy, now: float) -> None:
+        """Does not ask a store for a while."""
+        self._suspended_until[proxy.store_id] = now + self._rest_s
+
+    async def send(self, proxy: Proxy, request: ProxiedRequest, body: bytes, now: Callable[[], float]) -> AttemptResult:
+        """Has a store send a request; returns what its replica answered.
+
+        Args:
+            proxy: The store.
+            request: The request.
+            body: Its body.
+            now: The steady clock.
+        """
+        self._counters.add("send.by_store")
         try:
-            code, out, raw = await self.connections.to(proxy.address).call(
-                "request.send", {"to": proxy.sid, **doc}, body, timeout_s=timeout_s
+            code, document, response_body = await self._connections.to(proxy.address).call(
+                "request.send", request.to_document(), body, timeout_s=request.timeout_s
             )
-        except CallError as e:
-            self.rest(proxy, now())
-            return Answer(Ran.MAYBE if e.sent else Ran.NO, why=str(e))
-        if code == 1000:
-            heads = [tuple(head) for head in out["heads"]]
-            return Answer(Ran(out["ran"]), out["status"], heads, raw, out["why"])
-        self.counters.add(f"send.by_store.{code}")
-        if code != 3002:
-            self.rest(proxy, now())
-        return Answer(Ran.NO if code in NOT_RUN else Ran.MAYBE, why=f"store refused: {code}")
+        except CallError as error:
+            self.suspend(proxy, now())
+            execution = Execution.UNKNOWN if error.sent else Execution.NOT_EXECUTED
+            return AttemptResult(execution, reason=str(error))
+        if code == DONE_CODE:
+            response = ProxiedResponse.from_document(cast(dict, document))
+            return AttemptResult(response.execution, response.status, response.headers, response_body, response.reason)
+        self._counters.add(f"send.by_store.{code}")
+        if code != NO_REPLICA_CODE:  # with that one the store is well, and its replicas are full
+            self.suspend(proxy, now())
+        execution = Execution.NOT_EXECUTED if code in NOT_SENT_CODES else Execution.UNKNOWN
+        return AttemptResult(execution, reason=f"store refused: {code}")
--- a/archhatch/evacuation/target_capacity.py
+++ b/archhatch/evacuation/target_capacity.py
@@ -41,13 +41,13 @@
             rule = placement.rule(route)
             if rule is None or rule.name not in rules:
                 continue
-            names = {service for service, _ in route.split}
+            names = {service for service, _ in route.traffic_split}
             services |= names
             if route.kind in ROLLOUT_KINDS:
                 runs |= names
             else:
                 longest_s = max(longest_s, route.timeout_s)
-        models = {model: service for model, service in routes.models().items() if service in runs}
+        models = {model: service for model, service in routes.service_by_model().items() if service in runs}
         return cls(frozenset(services), frozenset(runs), models, longest_s)
 
 
--- a/archhatch/http_server/__init__.py
+++ b/archhatch/http_server/__init__.py
@@ -1,4 +1,4 @@
-"""The counter where outsiders are served: a bare HTTP listener whose answers are written in one place."""
+"""HTTP server of the nodes: requests and bodies as they came, answers written in one place."""
 
 from .server import HttpServer
 
--- a/archhatch/http_server/server.py
+++ b/archhatch/http_server/server.py
@@ -1,4 +1,4 @@
-"""A listener for HTTP/1.1: heads and bodies as they came, one writer for all answers.
+"""A server for HTTP/1.1: headers and bodies as they came, one place that writes all answers.
 
 aiohttp.web as a whole also brings routing, files and websockets; a start takes a fifth less processor time without
 them.
@@ -7,171 +7,256 @@
 from __future__ import annotations
 
 import asyncio
+import socket
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING, Any, cast
 
-from aiohttp.http import HttpVersion11
+from aiohttp.abc import AbstractStreamWriter
+from aiohttp.http import HttpVersion11, RawRequestMessage
+from aiohttp.streams import StreamReader
 from aiohttp.web_exceptions import HTTPRequestEntityTooLarge
 from aiohttp.web_protocol import RequestHandler
 from aiohttp.web_request import BaseRequest
 from aiohttp.web_response import Response, StreamResponse
 from aiohttp.web_server import Server
+from ..runtime import Counters, Result, error_result
 
-from ..runtime import Result, error_result
+if TYPE_CHECKING:
+    from loguru import Logger
 
+Handler = Callable[[BaseRequest, bytes], Awaitable[Result | StreamResponse]]
 
-SLOW = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+DEFAULT_MAX_BODY_BYTES = 32 << 20
+DEFAULT_MAX_HEADER_BYTES = 16384
+DEFAULT_HEADER_TIMEOUT_MS = 10000
+DEFAULT_IDLE_TIMEOUT_MS = 15000
+SWEEPS_PER_HEADER_TIMEOUT = 4  # how often connections are looked at
+HEADER_LINE_OVERHEAD = 4  # ": " and the end of the line
+LISTEN_BACKLOG = 1024
+LINGERING_S = 1.0  # how long the rest of a body is read after an early answer
+DRAIN_POLL_S = 0.05
+SHUTDOWN_S = 0.2  # how long connections may take to end
 
+BODY_TOO_LARGE_CODE = 2012
+HEADERS_TOO_LARGE_CODE = 2017
 
-class _Guest(RequestHandler):
-    """One client's connection; knows since when a head is on its way."""
+_HEADER_TIMEOUT_RESPONSE = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+_CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
-    __slots__ = ("opened", "head_since", "waiting")
 
-    def __init__(self, *args, **kwargs):
-        super().__init__(*args, **kwargs)
-        self.opened = asyncio.get_running_loop().time()
-        self.head_since, self.waiting = None, True
+class _ClientConnection(RequestHandler):
+    """One client's connection.
+
+    Attributes:
+        opened_at: When it was opened; None once it brought a request.
+        header_started_at: Since when a request's header section is on its way; None while there is none.
+        awaits_request: Whether no request of it is being handled.
+    """
+
+    __slots__ = ("opened_at", "header_started_at", "awaits_request")
+
+    def __init__(self, *args: Any, **options: Any) -> None:  # noqa: ANN401 - those of aiohttp's RequestHandler
+        super().__init__(*args, **options)
+        self.opened_at: float | None = asyncio.get_running_loop().time()
+        self.header_started_at: float | None = None
+        self.awaits_request = True
 
     def data_received(self, data: bytes) -> None:
-        if self.waiting and self.head_since is None:
-            self.head_since = asyncio.get_running_loop().time()
+        """Takes bytes from the socket."""
+        if self.awaits_request and self.header_started_at is None:
+            self.header_started_at = asyncio.get_running_loop().time()
         super().data_received(data)
 
 
 class _Server(Server):
-    def __call__(self):
-        return _Guest(self, loop=self._loop, **self._kwargs)
+    def __call__(self) -> _ClientConnection:
+        """Returns the protocol for a new connection."""
+        return _ClientConnection(self, loop=self._loop, **self._kwargs)
 
 
 class HttpServer:
-    """Serves handler(request, body) on an address; it gives a Result, or a stream that it wrote itself.
+    """Serves a handler on an address; it returns a Result, or a stream that it wrote itself.
 
-    cancel_on_disconnect: a handler whose client has closed the connection is cancelled.
-
-    >>> # win = HttpServer(handler, log, counters); await win.open("10.0.0.1:8144"); await win.close(grace_s=6)
+    Attributes:
+        is_draining: Whether connections are closed after their present request.
+        in_flight: How many requests are being handled.
+        limits: The configuration's Limits, read anew for each request.
     """
 
-    def __init__(self, handler, log, counters, limits=None, cancel_on_disconnect=False):
-        self.handler, self.log, self.counters = handler, log, counters
-        self.cancel_on_disconnect = cancel_on_disconnect
+    def __init__(
+        self,
+        handler: Handler,
+        log: Logger,
+        counters: Counters,
+        limits: dict[str, Any] | None = None,
+        cancel_on_disconnect: bool = False,
+    ) -> None:
+        """Prepares a server.
+
+        Args:
+            handler: Called with each request and its body.
+            log: Where errors of handlers go.
+            counters: Where refused connections and errors are counted.
+            limits: Limits by their names in the configuration; changes apply to later requests.
+            cancel_on_disconnect: Whether a handler is cancelled when its client closes the connection.
+        """
+        self._handler, self._log, self.counters = handler, log, counters
+        self._cancel_on_disconnect = cancel_on_disconnect
         self.limits = {} if limits is None else limits
-        self.leaving = False
-        self.under_way = 0
-        self._srv = self._site = None
-
-    def _factory(self, message, payload, protocol, writer, task):
-        cap = int(self.limits.get("MaxBodyBytes", 32 << 20))
-        return BaseRequest(message, payload, protocol, writer, task, asyncio.get_running_loop(), client_max_size=cap)
-
-    async def open(self, address: str, sock=None) -> None:
-        """Serve on an address, or on a socket that listens already."""
-        host, port = address.rsplit(":", 1)
-        where = {"sock": sock} if sock is not None else {"host": host, "port": int(port), "reuse_address": True}
-        self._srv = _Server(
-            self._serve,
-            request_factory=self._factory,
-            handler_cancellation=self.cancel_on_disconnect,
+        self.is_draining = False
+        self.in_flight = 0
+        self._server: _Server | None = None
+        self._listener: asyncio.Server | None = None
+        self._sweeper: asyncio.Task[None] | None = None
+
+    async def open(self, address: str, sock: socket.socket | None = None) -> None:
+        """Serves on an address, or on a socket that listens already."""
+        loop = asyncio.get_running_loop()
+        max_header_bytes = int(self.limits.get("MaxHeaderBytes", DEFAULT_MAX_HEADER_BYTES))
+        self._server = _Server(
+            cast(Any, self._serve),
+            request_factory=self._make_request,
+            handler_cancellation=self._cancel_on_disconnect,
             auto_decompress=False,
             access_log=None,
-            logger=_Quiet(self),
-            keepalive_timeout=self.limits.get("IdleTimeoutMs", 15000) / 1000,
+            logger=_ErrorCounter(self.counters, self._log),
+            keepalive_timeout=self.limits.get("IdleTimeoutMs", DEFAULT_IDLE_TIMEOUT_MS) / 1000,
             tcp_keepalive=False,
-            max_line_size=int(self.limits.get("MaxHeaderBytes", 16384)),
-            max_field_size=int(self.limits.get("MaxHeaderBytes", 16384)),
-            lingering_time=1.0,
+            max_line_size=max_header_bytes,
+            max_field_size=max_header_bytes,
+            lingering_time=LINGERING_S,
+        )
+        self._sweeper = loop.create_task(self._sweep_connections(self._server))
+        if sock is not None:
+            self._listener = await loop.create_server(self._server, backlog=LISTEN_BACKLOG, sock=sock)
+            return
+        host, port = address.rsplit(":", 1)
+        self._listener = await loop.create_server(
+            self._server, backlog=LISTEN_BACKLOG, host=host, port=int(port), reuse_address=True
         )
-        self._sweep = asyncio.get_running_loop().create_task(self._sweep_loop())
-        self._site = await asyncio.get_running_loop().create_server(self._srv, backlog=1024, **where)
 
-    async def _sweep_loop(self) -> None:
-        """End connections whose head takes longer than HeaderTimeoutMs, and those that never send one."""
+    def port(self) -> int:
+        """Returns the port that the server listens on."""
+        return cast(asyncio.Server, self._listener).sockets[0].getsockname()[1]
+
+    async def close(self, grace_s: float) -> None:
+        """Lets the requests that are being handled finish, for `grace_s` at most, and ends."""
         loop = asyncio.get_running_loop()
-        while True:
-            head_s = self.limits.get("HeaderTimeoutMs", 10000) / 1000
-            await asyncio.sleep(head_s / 4)
-            now, idle_s = loop.time(), self.limits.get("IdleTimeoutMs", 15000) / 1000
-            for guest in self._srv.connections:
-                if not guest.waiting or guest.transport is None:
-                    continue
-                if guest.head_since is not None and now - guest.head_since > head_s:
-                    self.counters.add("http.slow_head")
-                    guest.transport.write(SLOW)
-                    guest.transport.close()
-                elif guest.head_since is None and guest.opened is not None and now - guest.opened > idle_s:
-                    self.counters.add("http.idle")
-                    guest.transport.close()
+        deadline = loop.time() + grace_s
+        while self.in_flight and loop.time() < deadline:
+            await asyncio.sleep(DRAIN_POLL_S)
+        cast(asyncio.Task, self._sweeper).cancel()
+        cast(asyncio.Server, self._listener).close()
+        await cast(_Server, self._server).shutdown(SHUTDOWN_S)
+
+    def _make_request(
+        self,
+        message: RawRequestMessage,
+        payload: StreamReader,
+        protocol: RequestHandler,
+        writer: AbstractStreamWriter,
+        task: asyncio.Task[None],
+    ) -> BaseRequest:
+        loop = asyncio.get_running_loop()
+        return BaseRequest(message, payload, protocol, writer, task, loop, client_max_size=self._max_body_bytes())
 
-    def port(self) -> int:
-        return self._site.sockets[0].getsockname()[1]
+    def _max_body_bytes(self) -> int:
+        return int(self.limits.get("MaxBodyBytes", DEFAULT_MAX_BODY_BYTES))
 
-    async def _serve(self, request: BaseRequest):
-        self.under_way += 1
-        guest = request.protocol
-        guest.waiting, guest.head_since, guest.opened = False, None, None
+    async def _sweep_connections(self, server: _Server) -> None:
+        """Ends connections whose header section takes longer than HeaderTimeoutMs, and those that never send one."""
+        loop = asyncio.get_running_loop()
+        while True:
+            header_timeout_s = self.limits.get("HeaderTimeoutMs", DEFAULT_HEADER_TIMEOUT_MS) / 1000
+            await asyncio.sleep(header_timeout_s / SWEEPS_PER_HEADER_TIMEOUT)
+            idle_timeout_s = self.limits.get("IdleTimeoutMs", DEFAULT_IDLE_TIMEOUT_MS) / 1000
+            now = loop.time()
+            for connection in server.connections:
+                self._sweep(cast(_ClientConnection, connection), now, header_timeout_s, idle_timeout_s)
+
+    def _sweep(self, connection: _ClientConnection, now: float, header_timeout_s: float, idle_timeout_s: float) -> None:
+        transport = connection.transport
+        if not connection.awaits_request or transport is None:
+            return
+        if connection.header_started_at is not None:
+            if now - connection.header_started_at > header_timeout_s:
+                self.counters.add("http.slow_header")
+                cast(asyncio.Transport, transport).write(_HEADER_TIMEOUT_RESPONSE)
+                transport.close()
+        elif connection.opened_at is not None and now - connection.opened_at > idle_timeout_s:
+            self.counters.add("http.idle")
+            transport.close()
+
+    async def _serve(self, request: BaseRequest) -> StreamResponse:
+        """Handles one request, from the end of its header section to its answer."""
+        self.in_flight += 1
+        connection = cast(_ClientConnection, request.protocol)
+        connection.awaits_request = False
+        connection.header_started_at = connection.opened_at = None
         try:
             try:
-                if request.headers.get("Expect", "").lower() == "100-continue" and request.version >= HttpVersion11:
-                    await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-                cap = self.limits.get("MaxHeaderBytes")
-                if (
-                    cap is not None
-                    and sum(len(k) + len(v) + 4 for k, v in request.raw_headers) + len(request.raw_path) > cap
-                ):
-                    res = error_result(2017)
-                    res.close = True
-                    return await self._write(request, res)
-                body = await self._body(request)
-                res = await self.handler(request, body)
+                result = await self._handle(request)
             except HTTPRequestEntityTooLarge:
-                res = error_result(2012)
-                res.close = True
-            if isinstance(res, StreamResponse):
-                return res
-            return await self._write(request, res)
+                result = _closing_error(BODY_TOO_LARGE_CODE)
+            return result if isinstance(result, StreamResponse) else self._response(result)
         finally:
-            self.under_way -= 1
-            guest.waiting = True
-
-    async def _body(self, request) -> bytes:
+            self.in_flight -= 1
+            connection.awaits_request = True
+
+    async def _handle(self, request: BaseRequest) -> Result | StreamResponse:
+        if request.headers.get("Expect", "").lower() == "100-continue" and request.version >= HttpVersion11:
+            await request.writer.write(_CONTINUE_RESPONSE)  # type: ignore[attr-defined] # a StreamWriter
+        max_header_bytes = self.limits.get("MaxHeaderBytes")
+        if max_header_bytes is not None and _header_bytes(request) > max_header_bytes:
+            return _closing_error(HEADERS_TOO_LARGE_CODE)
+        return await self._handler(request, await self._read_body(request))
+
+    async def _read_body(self, request: BaseRequest) -> bytes:
         if not request.body_exists:
             return b""
-        cap = int(self.limits.get("MaxBodyBytes", 32 << 20))
-        if request.content_length is not None and request.content_length > cap:
-            raise HTTPRequestEntityTooLarge(cap, request.content_length)
+        max_bytes = self._max_body_bytes()
+        if request.content_length is not None and request.content_length > max_bytes:
+            raise HTTPRequestEntityTooLarge(max_bytes, request.content_length)
         return await request.read()
 
-    async def _write(self, request, res: Result):
-        out = Response(status=res.status, body=res.body, headers=res.head)
-        if self.leaving or res.close:
-            out.force_close()
-            out.headers["Connection"] = "close"
-        return out
+    def _response(self, result: Result) -> Response:
+        response = Response(status=result.status, body=result.body, headers=result.head)
+        if self.is_draining or result.close:
+            response.force_close()
+            response.headers["Connection"] = "close"
+        return response
 
-    async def close(self, grace_s: float) -> None:
-        """Stop accepting, let what is under way finish, then end."""
-        end = asyncio.get_running_loop().time() + grace_s
-        while self.under_way and asyncio.get_running_loop().time() < end:
-            await asyncio.sleep(0.05)
-        self._sweep.cancel()
-        self._site.close()
-        await self._srv.shutdown(0.2)
 
+def _header_bytes(request: BaseRequest) -> int:
+    fields = sum(len(name) + len(value) + HEADER_LINE_OVERHEAD for name, value in request.raw_headers)
+    return fields + len(request.raw_path)
 
-class _Quiet:
-    """aiohttp's own complaints become counters."""
 
-    def __init__(self, win: HttpServer):
-        self.win = win
+def _closing_error(code: int) -> Result:
+    """A refusal after which the rest of the request is not read."""
+    result = error_result(code)
+    result.close = True
+    return result
 
-    def debug(self, *a, **k):
-        pass
 
-    info = debug
+class _ErrorCounter:
+    """Takes the place of aiohttp's logger: malformed requests are counted, faults of handlers are logged too."""
+
+    def __init__(self, counters: Counters, log: Logger) -> None:
+        self.counters, self._log = counters, log
 
-    def error(self, msg, *a, **k):
-        self.win.counters.add("http.error")
+    def debug(self, *_args: object, **_options: object) -> None:
+        """Drops what is of no interest."""
 
-    def exception(self, msg, *a, exc_info=None, **k):
-        self.win.counters.add("http.fault")
-        self.win.log.opt(exception=exc_info or True).error("http: {}", msg % a if a else msg)
+    info = debug
+
+    def error(self, *_args: object, **_options: object) -> None:
+        """Counts a malformed request."""
+        self.counters.add("http.error")
 
     warning = error
+
+    def exception(self, message: str, *args: object, exc_info: Any = None, **_options: object) -> None:  # noqa: ANN401 - as in logging
+        """Counts and logs a fault of a handler."""
+        self.counters.add("http.fault")
+        self._log.opt(exception=exc_info or True).error("http: {}", message % args if args else message)
--- a/archhatch/platform_client/client.py
+++ b/archhatch/platform_client/client.py
@@ -15,7 +15,7 @@
 from ..runtime.settings import PlatformSettings
 from ..singleton_roles.errors import EffectFailedError, RoleCallError, StaleFenceError
 from ..singleton_roles.lease import StandingLease
-from ..upstream import NotSentError
+from ..upstream import Delivery, NotSentError
 
 LEASE_HOLDER_HEADER = "X-Archhatch-Duty-Owner"
 FENCING_TOKEN_HEADER = "X-Archhatch-Fence-Token"
@@ -91,8 +91,16 @@
         self._counters.add("platform.call")
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
-                async with self._upstream_client.ask(
-                    self._settings.address, "", "POST", path, headers, orjson.dumps(document), 0.0, "", may_send
+                async with self._upstream_client.request(
+                    self._settings.address,
+                    "",
+                    "POST",
+                    path,
+                    headers,
+                    orjson.dumps(document),
+                    0.0,
+                    Delivery.UNSPECIFIED,
+                    may_send,
                 ) as response:
                     await response.read()
                     self._counters.add(f"platform.{response.status}")
--- a/archhatch/region_policy/client.py
+++ b/archhatch/region_policy/client.py
@@ -182,7 +182,7 @@
         options = self._options
         if options.route:
             return next((route for route in routes.routes() if route.name == options.route), None)
-        return routes.route(options.host or "", options.path or "")
+        return routes.find_route(options.host or "", options.path or "")
 
     async def _load_situation(self, path: str | None) -> _Situation:
         """Loads configuration, policy and regions; what the files do not give is asked of the control plane."""
--- a/archhatch/region_policy/region_monitor.py
+++ b/archhatch/region_policy/region_monitor.py
@@ -148,7 +148,7 @@
 
     def _update_routes(self, config: dict) -> RoutingTable:
         """Returns the routes of a configuration; builds them anew only for a new revision."""
-        if self.routes is None or self.routes.stamp != config["Revision"]:
+        if self.routes is None or self.routes.revision != config["Revision"]:
             self.routes = RoutingTable(config)
         return self.routes
 
@@ -189,7 +189,7 @@
         for route in routes.routes():
             rule = self.placement.rule(route)
             if rule is not None:
-                services.setdefault(rule.name, set()).update(service for service, _ in route.split)
+                services.setdefault(rule.name, set()).update(service for service, _ in route.traffic_split)
         return services
 
     def _last_heard(self) -> dict[tuple, float]:
--- a/archhatch/rollout_controller/replica_orders.py
+++ b/archhatch/rollout_controller/replica_orders.py
@@ -17,7 +17,7 @@
 
 from ..exceptions import ArchhatchError
 from ..runtime.message import Message, wire
-from ..upstream import ECHO, SEAL, NotSentError, says_not_run
+from ..upstream import REPLY_SEAL_HEADER, REQUEST_ID_HEADER, Delivery, NotSentError, declares_not_executed
 from .engines import Engine
 from .host import WeightOrderHost
 
@@ -153,20 +153,24 @@
         headers = [("Content-Type", "application/json")]
         async with (
             asyncio.timeout(self.host.replica_pause_s() * ANSWER_TIMEOUT),
-            self.host.upstream_client.ask(
-                engine.address, engine.instance_id, "POST", "/api/order", headers, body, 0.0, "", gate
+            self.host.upstream_client.request(
+                engine.address, engine.instance_id, "POST", "/api/order", headers, body, 0.0, Delivery.UNSPECIFIED, gate
             ) as response,
         ):
             self._refuse_foreign(response)
             await response.read()
-            return response.status, says_not_run(response)
+            return response.status, declares_not_executed(response)
 
     def _refuse_foreign(self, response: aiohttp.ClientResponse) -> None:
         """Raises ForeignAnswerError for an answer that another request's headers show not to be this one's."""
-        if response.headers.get(ECHO) or SEAL in response.headers or response.status < STATUS_HAS_IT:
+        if (
+            response.headers.get(REQUEST_ID_HEADER)
+            or REPLY_SEAL_HEADER in response.headers
+            or response.status < STATUS_HAS_IT
+        ):
             self.host.counters.add("order.foreign_answer")
             response.close()
-            raise ForeignAnswerError(response.headers.get(ECHO))
+            raise ForeignAnswerError(response.headers.get(REQUEST_ID_HEADER))
 
     async def _judge(self, engine: Engine, request: OrderRequest, status: int, is_not_run: bool) -> OrderOutcome:
         """What the answer to an order says."""
@@ -215,7 +219,7 @@
         try:
             async with (
                 asyncio.timeout(host.replica_pause_s() * ANSWER_TIMEOUT),
-                host.upstream_client.ask(
+                host.upstream_client.request(
                     engine.address, engine.instance_id, "GET", "/api/report", [], b"", 0.0
                 ) as response,
             ):
--- a/archhatch/rollout_controller/scoring.py
+++ b/archhatch/rollout_controller/scoring.py
@@ -8,7 +8,7 @@
 import itertools
 from typing import Any, NamedTuple
 
-from ..upstream import AGAIN, ECHO, SEAL, Answer, Ran, ReplicaEndpoint
+from ..upstream import REQUEST_ID_HEADER, REPLY_SEAL_HEADER, AttemptResult, Execution, ReplicaEndpoint, Delivery
 from .host import ScoringHost
 from .load_limit import LoadLimit
 
@@ -55,12 +55,12 @@
         while True:
             replica, route = await self._slot_for(work, key)
             answer = await self._call(work, replica, route)
-            if answer.good:
-                return next(value for name, value in answer.heads if name.lower() == SEAL.lower())
-            self.host.counters.add(f"score.{answer.ran.value}.{answer.status}")
-            if answer.ran is Ran.YES and answer.status == STATUS_FAILED:
+            if answer.is_success:
+                return next(value for name, value in answer.headers if name.lower() == REPLY_SEAL_HEADER.lower())
+            self.host.counters.add(f"score.{answer.execution.value}.{answer.status}")
+            if answer.execution is Execution.EXECUTED and answer.status == STATUS_FAILED:
                 work.score_fails += 1
-                if work.score_fails >= route.sends:
+                if work.score_fails >= route.max_attempts:
                     return None
             else:
                 await asyncio.sleep(self.host.replica_pause_s() * RETRY_PAUSE)
@@ -74,7 +74,7 @@
             return await slot
         except asyncio.CancelledError:
             if slot.done() and not slot.cancelled():  # the slot came just as the job ended: give it back
-                slot.result()[0].under_way -= 1
+                slot.result()[0].in_flight -= 1
                 self.host.state_board.notify("score")
             raise
 
@@ -119,15 +119,15 @@
         if may_send is not None and not may_send():
             return False  # its partition's leader was not heard of lately: the job may be ended
         scorer = call.work.item.scorer
-        route = host.plan.route(scorer["HostName"], scorer["Path"].split("?", 1)[0])
-        service = route.pick() if route is not None else None
+        route = host.plan.find_route(scorer["HostName"], scorer["Path"].split("?", 1)[0])
+        service = route.choose_service() if route is not None else None
         if service is None or service in full_services:
             return False
-        replica = host.load_balancer.pick(service, set(), host.clock.now(), route)
-        if replica is None or replica.under_way >= self._usable_slots(service, replica):
+        replica = host.load_balancer.select_replica(service, set(), host.clock.now(), route)
+        if replica is None or replica.in_flight >= self._usable_slots(service, replica):
             full_services.add(service)
             return False
-        replica.under_way += 1
+        replica.in_flight += 1
         call.slot.set_result((replica, route))
         return True
 
@@ -135,7 +135,7 @@
         replica_count = len(self.host.load_balancer.by_service[service])
         return self.load_limit.usable_slots(service, replica.slots, replica_count)
 
-    async def _call(self, work: Any, replica: ReplicaEndpoint, route: Any) -> Answer:  # noqa: ANN401 - as in score()
+    async def _call(self, work: Any, replica: ReplicaEndpoint, route: Any) -> AttemptResult:  # noqa: ANN401 - as in score()
         """Sends one reward call to the replica whose slot it has, and gives the slot back."""
         host = self.host
         began = host.clock.now()
@@ -144,19 +144,19 @@
         try:
             answer = await host.upstream_client.send(
                 replica.address,
-                replica.iid,
+                replica.instance_id,
                 "POST",
                 scorer["Path"],
-                [("Host", scorer["HostName"]), (ECHO, scorer["InstanceId"])],
+                [("Host", scorer["HostName"]), (REQUEST_ID_HEADER, scorer["InstanceId"])],
                 base64.b64decode(scorer.get("Payload", "")),
                 scorer["InstanceId"],
-                min(route.timeout_s, route.aim_s * TIMEOUT_TARGETS),
-                AGAIN,
+                min(route.timeout_s, route.latency_target_s * TIMEOUT_TARGETS),
+                Delivery.AT_LEAST_ONCE,
                 getattr(work, "may_send", None),
             )
         finally:
-            replica.under_way -= 1
+            replica.in_flight -= 1
             host.state_board.notify("score")
         now = host.clock.now()
-        host.load_balancer.judge(replica, answer, now, now - began, route.aim_s * TYPICAL_RATIO)
+        host.load_balancer.record_result(replica, answer, now, now - began, route.latency_target_s * TYPICAL_RATIO)
         return answer
--- a/archhatch/rollout_controller/weight_order_policy.py
+++ b/archhatch/rollout_controller/weight_order_policy.py
@@ -66,7 +66,7 @@
     for batch_job in batch_jobs:
         if batch_job.is_ended or batch_job.model != model:
             continue
-        route = plan.route(batch_job.host, batch_job.path.split("?", 1)[0])  # type: ignore[union-attr]
-        if route is not None and route.single:
+        route = plan.find_route(batch_job.host, batch_job.path.split("?", 1)[0])  # type: ignore[union-attr]
+        if route is not None and route.is_single_version:
             return True
     return False
--- a/archhatch/routing/schemas.py
+++ b/archhatch/routing/schemas.py
@@ -2,34 +2,45 @@
 
 from __future__ import annotations
 
+from typing import Any
+
 from marshmallow import INCLUDE, Schema, ValidationError, fields, validate, validates_schema
 
-CLASSES = ["idempotent", "non_idempotent", "streaming", "batch", "rollout"]
+from ..exceptions import ArchhatchError
+from .routes import RouteClass
 
+ROUTE_CLASSES = [route_class.value for route_class in RouteClass]
 
-TENANT_NAME = r"[\x21-\x7e]{1,128}\Z"  # a tenant's name and a key each go into a header as they are
+# A tenant's name and a key each go into a header as they are.
+TENANT_NAME = r"[\x21-\x7e]{1,128}\Z"
 TENANT_KEY = r"[\x21-\x7e]{1,512}\Z"
 
 
-class InvalidConfigError(Exception):
+class InvalidConfigError(ArchhatchError):
     """An invalid configuration; says where and why."""
 
 
-class _Open(Schema):
+class _OpenSchema(Schema):
+    """A schema that keeps unknown fields."""
+
     class Meta:
         unknown = INCLUDE
 
 
-class SplitSchema(_Open):
+class SplitSchema(_OpenSchema):
+    """One service of a route's TrafficSplit."""
+
     Service = fields.String(required=True)
     Weight = fields.Float(required=True, validate=validate.Range(min=0))
 
 
-class RouteSchema(_Open):
+class RouteSchema(_OpenSchema):
+    """An entry of the RouteTable."""
+
     Name = fields.String(required=True, validate=validate.Length(min=1))
     HostName = fields.String(required=True, validate=validate.Length(min=1))
     PathPrefix = fields.String(required=True)
-    RouteClass = fields.String(required=True, validate=validate.OneOf(CLASSES))
+    RouteClass = fields.String(required=True, validate=validate.OneOf(ROUTE_CLASSES))
     TimeoutMs = fields.Float(validate=validate.Range(min=0, min_inclusive=False))
     TargetLatencyMs = fields.Float(validate=validate.Range(min=0))
     ResultDueMs = fields.Float(validate=validate.Range(min=0))
@@ -40,24 +51,30 @@
     TrafficSplit = fields.List(fields.Nested(SplitSchema))
 
     @validates_schema
-    def _whole(self, data, **kwargs):
-        pre = data.get("PathPrefix", "")
-        if not (pre.startswith("/") and pre.endswith("/")):
+    def check_prefix_and_services(self, data: dict[str, Any], **_options: object) -> None:
+        """Checks the prefix's slashes, and that the route names a service."""
+        prefix = data.get("PathPrefix", "")
+        if not (prefix.startswith("/") and prefix.endswith("/")):
             raise ValidationError("must begin and end with a slash", "PathPrefix")
-        if not data.get("TrafficSplit") and not data.get("Service"):
+        split = data.get("TrafficSplit")
+        if not split and not data.get("Service"):
             raise ValidationError("names no service", "Service")
-        if data.get("TrafficSplit") and sum(s["Weight"] for s in data["TrafficSplit"]) <= 0:
+        if split and sum(part["Weight"] for part in split) <= 0:
             raise ValidationError("the weights sum to 0", "TrafficSplit")
 
 
-class ServiceSchema(_Open):
+class ServiceSchema(_OpenSchema):
+    """An entry of the ServiceTable."""
+
     Name = fields.String(required=True, validate=validate.Length(min=1))
     HealthPath = fields.String()
     MaxConnections = fields.Integer(validate=validate.Range(min=1))
     Engine = fields.Dict(allow_none=True)
 
 
-class TenantSchema(_Open):
+class TenantSchema(_OpenSchema):
+    """An entry of the TenantTable."""
+
     Name = fields.String(required=True, validate=validate.Regexp(TENANT_NAME, error="must be a name without spaces"))
     ApiKeys = fields.List(
         fields.String(validate=validate.Regexp(TENANT_KEY, error="is empty or no key")), required=True
@@ -65,14 +82,18 @@
     Priority = fields.Integer()
 
 
-class LimitsSchema(_Open):
+class LimitsSchema(_OpenSchema):
+    """The limits of an edge's HTTP server."""
+
     MaxHeaderBytes = fields.Integer(validate=validate.Range(min=1))
     MaxBodyBytes = fields.Integer(validate=validate.Range(min=0))
     HeaderTimeoutMs = fields.Float(validate=validate.Range(min=1))
     IdleTimeoutMs = fields.Float(validate=validate.Range(min=1))
 
 
-class PlanSchema(_Open):
+class ConfigSchema(_OpenSchema):
+    """A whole configuration."""
+
     Revision = fields.Integer(required=True, strict=True, validate=validate.Range(min=1))
     RouteTable = fields.List(fields.Nested(RouteSchema), required=True)
     ServiceTable = fields.List(fields.Nested(ServiceSchema), required=True)
@@ -80,48 +101,55 @@
     Limits = fields.Nested(LimitsSchema)
 
     @validates_schema
-    def _together(self, data, **kwargs):
-        known, seen, names = {s["Name"] for s in data.get("ServiceTable", [])}, set(), set()
-        if len(known) != len(data.get("ServiceTable", [])):
+    def check_routes(self, data: dict[str, Any], **_options: object) -> None:
+        """Checks that routes name known services, and that no two share a place or a name."""
+        services = {service["Name"] for service in data.get("ServiceTable", [])}
+        if len(services) != len(data.get("ServiceTable", [])):
             raise ValidationError("two services have one name", "ServiceTable")
-        for r in data.get("RouteTable", []):
-            for svc in [s["Service"] for s in r.get("TrafficSplit") or []] or [r.get("Service")]:
-                if svc not in known:
-                    raise ValidationError(f"route {r['Name']} names the unknown service {svc}", "RouteTable")
-            place = (r["HostName"].lower(), r["PathPrefix"])
-            if place in seen or r["Name"] in names:
-                raise ValidationError(f"route {r['Name']} stands twice", "RouteTable")
-            seen.add(place)
-            names.add(r["Name"])
+        places: set[tuple[str, str]] = set()
+        names: set[str] = set()
+        for route in data.get("RouteTable", []):
+            for service in [part["Service"] for part in route.get("TrafficSplit") or []] or [route.get("Service")]:
+                if service not in services:
+                    raise ValidationError(f"route {route['Name']} names the unknown service {service}", "RouteTable")
+            place = (route["HostName"].lower(), route["PathPrefix"])
+            if place in places or route["Name"] in names:
+                raise ValidationError(f"route {route['Name']} stands twice", "RouteTable")
+            places.add(place)
+            names.add(route["Name"])
 
     @validates_schema
-    def _tenants(self, data, **kwargs):
-        """No two tenants share a name or a key. Messages name tenants, never keys."""
-        owners: dict = {}
-        names = set()
+    def check_tenants(self, data: dict[str, Any], **_options: object) -> None:
+        """Checks that no two tenants share a name or a key. Messages name tenants, never keys."""
+        owner_by_key: dict[str, str] = {}
+        names: set[str] = set()
         for tenant in data.get("TenantTable") or []:
             name = tenant["Name"]
             if name in names:
                 raise ValidationError(f"tenant {name} stands twice", "TenantTable")
             names.add(name)
             for key in tenant["ApiKeys"]:
-                if owners.setdefault(key, name) != name:
-                    raise ValidationError(f"tenants {owners[key]} and {name} share a key", "TenantTable")
+                owner = owner_by_key.setdefault(key, name)
+                if owner != name:
+                    raise ValidationError(f"tenants {owner} and {name} share a key", "TenantTable")
+
 
+_CONFIG_SCHEMA = ConfigSchema()
 
-_PLAN = PlanSchema()
 
+def check_config(document: object) -> dict[str, Any]:
+    """Returns the document itself if it is a valid configuration.
 
-def check_config(doc: object) -> dict:
-    """The document itself if it is a valid configuration; InvalidConfigError if it is not.
+    >>> check_config({"Revision": 1})
+    Traceback (most recent call last):
+    archhatch.routing.schemas.InvalidConfigError: {'RouteTable': ['Missing data for required field.'], ...}
 
-    >>> try: check_config({"Revision": 1})
-    ... except InvalidConfigError as e: "RouteTable" in str(e)
-    True
+    Raises:
+        InvalidConfigError: It is not; the message says where and why.
     """
-    if not isinstance(doc, dict):
+    if not isinstance(document, dict):
         raise InvalidConfigError("must be one JSON object")
-    bad = _PLAN.validate(doc)
-    if bad:
-        raise InvalidConfigError(str(bad))
-    return doc
+    errors = _CONFIG_SCHEMA.validate(document)
+    if errors:
+        raise InvalidConfigError(str(errors))
+    return document
--- a/archhatch/share_group/acquisition.py
+++ b/archhatch/share_group/acquisition.py
@@ -134,7 +134,7 @@
                 window.acquire(entry, worker.worker_id, now)
                 entry.take_slot(engine)
                 model_version = engine.revisions.get(model, 1)
-                if not entry.fits(model_version, route.single):
+                if not entry.fits(model_version, route.is_single_version):
                     entry.drop_text()
                 document = acquired_record_document(entry, engine, model_version, route, window.lock_s)
                 batch.append(AcquiredItem(entry, document))
@@ -147,7 +147,7 @@
         """The engines that may run a batch job's items, the least loaded and then the fastest first."""
         batch_job, route = job.batch_job, job.route
         model = batch_job.model
-        services = {service for service, _ in route.split}
+        services = {service for service, _ in route.traffic_split}
         fitting = [
             engine_id
             for engine_id, slots in free.items()
--- a/archhatch/share_group/hosts.py
+++ b/archhatch/share_group/hosts.py
@@ -114,7 +114,7 @@
 
     @property
     def load_balancer(self) -> LoadBalancer:
-        """Holds `proofs`: when a service last answered from a zone."""
+        """Holds `last_answer_at`: when a service last answered from a zone."""
 
     @property
     def orders(self) -> Any:  # noqa: ANN401 - only `verify_replica(engine)` is used; tests offer just that
--- a/archhatch/share_group/item_stream.py
+++ b/archhatch/share_group/item_stream.py
@@ -9,9 +9,19 @@
 import aiohttp
 
 from ..exceptions import ArchhatchError
-from ..upstream import AGAIN, ECHO, EXPECT_REV, SEAL, VERSIONS, NotSentError, belongs, has_end, says_not_run
-from ..upstream.event_stream import EventReader, follows
-from ..upstream.headers import LAST_ID, URGENCY, with_tenant
+from ..upstream import (
+    REQUEST_ID_HEADER,
+    EXPECTED_REVISION_HEADER,
+    REPLY_SEAL_HEADER,
+    WEIGHT_VERSIONS_HEADER,
+    NotSentError,
+    is_response_to,
+    has_body_framing,
+    declares_not_executed,
+    Delivery,
+)
+from ..upstream.event_stream import EventReader, is_next_event
+from ..upstream.headers import LAST_EVENT_ID_HEADER, URGENCY_LEVEL_HEADER, with_tenant
 from .acquired_entry import AcquiredEntry, WorkState
 from .hosts import WorkerHost
 from .messages import SignalKind
@@ -20,7 +30,9 @@
 FIRST_EVENT_GAPS = 2  # in replica_pause_s: what the first event may take beside that, for the prompt to be read
 VANISHED_EJECTION_GAPS = 2  # in replica_pause_s: first ejection of a replica that vanished; one gap if it failed
 LIVE_SERVICE_URGENCY = "9"  # urgency of items at replicas that live requests use too: the lowest
-OWN_HEADERS = frozenset({"host", ECHO.lower(), EXPECT_REV.lower()})  # headers that are not the sender's to set
+OWN_HEADERS = frozenset(
+    {"host", REQUEST_ID_HEADER.lower(), EXPECTED_REVISION_HEADER.lower()}
+)  # headers that are not the sender's to set
 INSTANCE_ID_HEADER = "X-Archhatch-Instance-Id"  # on a 421: who answers at the address
 
 HTTP_OK = 200
@@ -78,7 +90,7 @@
 
     def _ask(self, entry: AcquiredEntry) -> AbstractAsyncContextManager[aiohttp.ClientResponse]:
         record = entry.record
-        return self.host.upstream_client.ask(
+        return self.host.upstream_client.request(
             record.address,
             record.engine_id,
             "POST",
@@ -86,19 +98,23 @@
             self._headers(entry),
             base64.b64decode(record.payload),
             0.0,
-            AGAIN,
+            Delivery.AT_LEAST_ONCE,
             entry.may_send,
         )
 
     def _headers(self, entry: AcquiredEntry) -> list[tuple[str, str]]:
         record = entry.record
-        headers = [("Host", record.host), (ECHO, record.item_id), (EXPECT_REV, str(record.model_version))]
+        headers = [
+            ("Host", record.host),
+            (REQUEST_ID_HEADER, record.item_id),
+            (EXPECTED_REVISION_HEADER, str(record.model_version)),
+        ]
         given = with_tenant(record.headers, record.tenant)
         headers += [(name, value) for name, value in given if name.lower() not in OWN_HEADERS]
         if record.service in self.host.live_services:
-            headers.append((URGENCY, LIVE_SERVICE_URGENCY))
+            headers.append((URGENCY_LEVEL_HEADER, LIVE_SERVICE_URGENCY))
         if entry.last_event_id:
-            headers.append((LAST_ID, entry.last_event_id))
+            headers.append((LAST_EVENT_ID_HEADER, entry.last_event_id))
         return headers
 
     async def _is_stream(self, entry: AcquiredEntry, response: aiohttp.ClientResponse) -> bool:
@@ -108,10 +124,10 @@
             InvalidStreamError: The answer is not this item's, or nothing tells where its stream ends.
         """
         record = entry.record
-        if not belongs(response, record.item_id, AGAIN):
+        if not is_response_to(response, record.item_id, Delivery.AT_LEAST_ONCE):
             response.close()
             raise InvalidStreamError("answer of another item")
-        if says_not_run(response):
+        if declares_not_executed(response):
             await response.read()
             self._note_rejection(entry, response)
             return False
@@ -124,7 +140,7 @@
             await response.read()
             self._note_failure(entry, response.status)
             return False
-        if SEAL not in response.headers or not has_end(response):
+        if REPLY_SEAL_HEADER not in response.headers or not has_body_framing(response):
             response.close()
             raise InvalidStreamError("no seal, or nothing that tells where it ends")
         return True
@@ -162,12 +178,12 @@
         """
         now, expected, replica_pause_s = self.host.clock.now, entry.record.model_version, self.host.replica_pause_s()
         loop_time = asyncio.get_running_loop().time
-        current = newest_version(response.headers.get(VERSIONS, ""), expected)
+        current = newest_version(response.headers.get(WEIGHT_VERSIONS_HEADER, ""), expected)
         reader, began_at, count = EventReader(), now(), 0
         async for chunk in response.content.iter_any():
             time_limit.reschedule(loop_time() + replica_pause_s * MAX_EVENT_GAPS)
             for event in reader.feed(chunk):
-                if not follows(entry.last_event_id, event.id):
+                if not is_next_event(entry.last_event_id, event.id):
                     raise InvalidStreamError("an event comes again")
                 if event.version:
                     current = newest_version(event.version, current)
@@ -175,7 +191,7 @@
                 entry.last_event_id = event.id
                 entry.versions.add(current)
                 count += 1
-        if reader.rest:
+        if reader.remainder:
             raise InvalidStreamError("stream ended inside an event")
         if current > expected:
             entry.signal(SignalKind.VERSION, current)
--- a/archhatch/share_group/led_runs.py
+++ b/archhatch/share_group/led_runs.py
@@ -81,7 +81,7 @@
             if not is_queued:
                 run.add_job(batch_job)
             if route is not None and run.entries[job_id]:
-                self.open_jobs.append(OpenJob(batch_job.accepted_at + route.due_s, batch_job, route, run))
+                self.open_jobs.append(OpenJob(batch_job.accepted_at + route.result_due_s, batch_job, route, run))
 
     def _close(self, name: str) -> None:
         run = self.runs.pop(name)
--- a/archhatch/share_group/messages.py
+++ b/archhatch/share_group/messages.py
@@ -251,8 +251,8 @@
         "payload": item.payload,
         "scorer": item.scorer,
         "least": batch_job.min_revision,
-        "single": route.single,
-        "sends": route.sends,
+        "single": route.is_single_version,
+        "sends": route.max_attempts,
         "version": model_version,
         "engine": engine.instance_id,
         "addr": engine.address,
@@ -261,7 +261,7 @@
         "last": entry.last_event_id,
         "versions": sorted(entry.versions),
         "fails": entry.failures,
-        "key": [entry.rank >= batch_job.desired_count > 0, batch_job.accepted_at + route.due_s, entry.rank],
+        "key": [entry.rank >= batch_job.desired_count > 0, batch_job.accepted_at + route.result_due_s, entry.rank],
         "lock": lock_s,
     }
 
--- a/archhatch/share_group/replica_feedback.py
+++ b/archhatch/share_group/replica_feedback.py
@@ -46,7 +46,7 @@
                 self._back_off(engine, kind, now)
             else:
                 if kind == SignalKind.SERVED and host.placement.policy is not None:
-                    host.load_balancer.proofs[engine.service, engine.zone] = now  # its region is alive
+                    host.load_balancer.last_answer_at[engine.service, engine.zone] = now  # its region is alive
                 engine.health.record(kind, now, value)
 
     def _back_off(self, engine: Engine, kind: str, now: float) -> None:
--- a/archhatch/share_group/replica_slots.py
+++ b/archhatch/share_group/replica_slots.py
@@ -32,7 +32,7 @@
     >>> route_of(None, None) is None
     True
     """
-    return plan.route(batch_job.host, batch_job.path.split("?", 1)[0]) if plan is not None else None
+    return plan.find_route(batch_job.host, batch_job.path.split("?", 1)[0]) if plan is not None else None
 
 
 class ReplicaSlots:
@@ -132,7 +132,7 @@
         done_s = run.times.forecast(batch_job.model, waiting, running)
         if route is None or done_s is None:
             return False
-        return done_s <= IN_TIME_SHARE * (batch_job.accepted_at + route.due_s - now)
+        return done_s <= IN_TIME_SHARE * (batch_job.accepted_at + route.result_due_s - now)
 
     def demand(self, run: LedPartitions) -> float:
         """Returns the slots with which all open batch jobs would be done in time.
@@ -150,7 +150,7 @@
             if route is None or mean_s is None:
                 continue
             running = len(run.entries.get(job_id, ())) - queue.wanted_count - queue.surplus_count
-            left_s = DEMAND_DONE_BY * (batch_job.accepted_at + route.due_s - now)
+            left_s = DEMAND_DONE_BY * (batch_job.accepted_at + route.result_due_s - now)
             slots_per_item = min(1.0, mean_s / left_s) if left_s > 0 else 1.0
             total += slots_per_item * (queue.wanted_count + max(0, running))
         return total
--- a/archhatch/store/evacuation.py
+++ b/archhatch/store/evacuation.py
@@ -73,7 +73,7 @@
             return []
         moves: list[Move | None] = []
         for route in plan.routes():
-            if route.kind in JOB_ROUTE_KINDS and any(service == run for service, _ in route.split):
+            if route.kind in JOB_ROUTE_KINDS and any(service == run for service, _ in route.traffic_split):
                 rule = placement.rule(route)
                 moves.append(None if rule is None else placement.moves.of_rule(rule.name))
         return moves
@@ -200,7 +200,7 @@
 
     def _is_moved(self, batch_job: BatchJob, move: Move) -> bool:
         plan = self.store.plan
-        route = None if plan is None else plan.route(batch_job.host, batch_job.path.split("?", 1)[0])
+        route = None if plan is None else plan.find_route(batch_job.host, batch_job.path.split("?", 1)[0])
         rule = None if route is None else self.store.placement.rule(route)
         return rule is not None and rule.name in move.rules
 
--- a/archhatch/store/join.py
+++ b/archhatch/store/join.py
@@ -90,7 +90,7 @@
         if store.placement.update(register):
             store.log.info("placement policy changed, policy={}", store.placement)
         plan = register.get("plan")
-        if plan is not None and (store.plan is None or plan["Revision"] > store.plan.stamp):
+        if plan is not None and (store.plan is None or plan["Revision"] > store.plan.revision):
             store.plan = RoutingTable(plan)
             store.live_services = store.plan.live_services()
 
--- a/archhatch/store/lease_watch.py
+++ b/archhatch/store/lease_watch.py
@@ -104,7 +104,7 @@
         self._is_slow = store.membership.is_slow()
         for leadership in store.leaderships.values():
             leadership.record_progress_if_confirmed()
-        for run in sorted(set(store.plan.models().values()) | set(register.get("runs", {}))):
+        for run in sorted(set(store.plan.service_by_model().values()) | set(register.get("runs", {}))):
             document = leases.get(run)
             lease = RunLease.from_document(document) if document else None
             action = self.decide(run, lease)
--- a/archhatch/store/node.py
+++ b/archhatch/store/node.py
@@ -94,7 +94,7 @@
         self.quorum = Quorum.from_settings(settings)
         self.engines = Engines()
         rest_s = settings.seconds("ContactMs", REPLICA_REST_CONTACT_FRACTION)
-        self.load_balancer = LoadBalancer(settings.zone, settings.node_name, rest_s=rest_s, widen=SUBSET_WIDENING)
+        self.load_balancer = LoadBalancer(settings.zone, settings.node_name, rest_s=rest_s, busy_share=SUBSET_WIDENING)
         self.placement = self.load_balancer.placement
         self.plan: RoutingTable | None = None
         self.leaderships: dict[str, LeadershipTerm] = {}
@@ -151,7 +151,7 @@
     def _create_clients(self) -> None:
         settings = self.settings
         self.upstream_client = UpstreamClient(counters=self.counters)
-        self.load_balancer.idle = self.upstream_client.idle
+        self.load_balancer.use_connections_of(self.upstream_client.has_idle_connection)
         if settings.platform_api is not None:
             platform = PlatformClient(
                 settings.platform_api, settings.node_name, self.upstream_client, self.clock, self.counters
@@ -161,7 +161,7 @@
         self.config_watcher = ConfigWatcher(
             settings, self.identity(), self.connections, self.state_board, self.clock, self.counters
         )
-        self.config_watcher.successes_by_zone = self.load_balancer.proved
+        self.config_watcher.successes_by_zone = self.load_balancer.take_answer_ages
         self.replicator = Replicator(
             self.id,
             self.record_store,
@@ -287,7 +287,7 @@
         """Returns the models that are trained on a service."""
         if self.plan is None:
             return []
-        return [model for model, service in self.plan.models().items() if service == run]
+        return [model for model, service in self.plan.service_by_model().items() if service == run]
 
     # -- leading, and calls to stores, this one among them
 
@@ -342,7 +342,7 @@
         turn = 0
         while True:
             entries: list[Any] = self.config_watcher.take_changed_replicas()
-            self.load_balancer.fold(entries)
+            self.load_balancer.apply_updates(entries)
             self.engines.apply_entries(entries)
             if entries:
                 self.state_board.notify("work")
--- a/archhatch/store/proxy.py
+++ b/archhatch/store/proxy.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from ..rpc import CallRefusedError
-from ..upstream import AGAIN
+from ..upstream import Delivery
 from .messages import SendAnswer, SendRequest
 from .result_codes import NO_REPLICA_FREE, NO_ROUTE, NOT_CERTAIN, NOT_TAKEN
 
@@ -57,39 +57,41 @@
             raise CallRefusedError(NOT_CERTAIN)
         request = SendRequest.from_document(document)
         route = _proxied_route(store.plan, request)
-        endpoint = store.load_balancer.pick(request.service, set(request.tried), began, route)
+        endpoint = store.load_balancer.select_replica(request.service, set(request.tried), began, route)
         if endpoint is None:
             raise CallRefusedError(NO_REPLICA_FREE)
         end = began + request.timeout_s
-        endpoint.under_way += 1
+        endpoint.in_flight += 1
         store.counters.add("proxy.send")
         try:
             answer = await store.upstream_client.send(
                 endpoint.address,
-                endpoint.iid,
+                endpoint.instance_id,
                 request.method,
                 request.target,
                 [tuple(header) for header in request.headers],
                 body,
                 request.request_id,
                 request.timeout_s,
-                AGAIN,
+                Delivery.AT_LEAST_ONCE,
                 lambda: store.clock.now() < end,
             )
         finally:
-            endpoint.under_way -= 1
+            endpoint.in_flight -= 1
             store.state_board.notify("score")  # reward calls may wait for the slot
         now = store.clock.now()
-        store.load_balancer.judge(endpoint, answer, now, now - began, route.aim_s * SLOW_TARGET_FRACTION)
-        headers = [list(header) for header in answer.heads]
-        return SendAnswer(answer.ran.value, answer.status, headers, answer.why).to_document(), answer.body
+        store.load_balancer.record_result(
+            endpoint, answer, now, now - began, route.latency_target_s * SLOW_TARGET_FRACTION
+        )
+        headers = [list(header) for header in answer.headers]
+        return SendAnswer(answer.execution.value, answer.status, headers, answer.reason).to_document(), answer.body
 
 
 def _proxied_route(plan: RoutingTable, request: SendRequest) -> Route:
     """Finds a request's route; refuses one whose edge has another configuration than this store."""
-    route = plan.route(request.host, request.target.split("?", 1)[0])
+    route = plan.find_route(request.host, request.target.split("?", 1)[0])
     if route is None or route.kind != PROXIED_KIND:
         raise CallRefusedError(NO_ROUTE)
-    if request.service not in [name for name, _ in route.split]:
+    if request.service not in [name for name, _ in route.traffic_split]:
         raise CallRefusedError(NO_ROUTE)
     return route
--- a/archhatch/upstream/__init__.py
+++ b/archhatch/upstream/__init__.py
@@ -1,31 +1,45 @@
-"""Sends: one request to one replica, and what its answer proves."""
+"""Requests to replicas: which replica one goes to, its connection, and what its response proves."""
 
-from .client import Answer, UpstreamClient, Ran, StaleConnectionError, belongs, has_end, says_not_run
-from .connection_pool import AGAIN, ONCE, NotSentError
-from .headers import DEADLINE, ECHO, EXPECT_ID, EXPECT_REV, LOAD, NOT_RUN, PROMISES, SEAL, VERSIONS, pass_on
-from .load_balancer import LoadBalancer, ReplicaEndpoint
+from .attempt_result import AttemptResult, Execution, declares_not_executed, has_body_framing, is_response_to
+from .client import StaleConnectionError, UpstreamClient
+from .connection_pool import Delivery, NotSentError
+from .headers import (
+    DEADLINE_MS_HEADER,
+    EXPECTED_INSTANCE_HEADER,
+    EXPECTED_REVISION_HEADER,
+    INSTANCE_LOAD_HEADER,
+    NOT_EXECUTED_HEADER,
+    NOT_EXECUTED_STATUSES,
+    REPLY_SEAL_HEADER,
+    REQUEST_ID_HEADER,
+    WEIGHT_VERSIONS_HEADER,
+    Headers,
+    end_to_end_headers,
+)
+from .load_balancer import LoadBalancer
+from .replica_pool import ReplicaEndpoint
 
 __all__ = [
-    "AGAIN",
-    "Answer",
-    "DEADLINE",
-    "ECHO",
-    "EXPECT_ID",
-    "EXPECT_REV",
-    "LOAD",
+    "AttemptResult",
+    "DEADLINE_MS_HEADER",
+    "Delivery",
+    "EXPECTED_INSTANCE_HEADER",
+    "EXPECTED_REVISION_HEADER",
+    "Execution",
+    "Headers",
+    "INSTANCE_LOAD_HEADER",
     "LoadBalancer",
-    "NOT_RUN",
+    "NOT_EXECUTED_HEADER",
+    "NOT_EXECUTED_STATUSES",
     "NotSentError",
-    "ONCE",
-    "PROMISES",
-    "Ran",
+    "REPLY_SEAL_HEADER",
+    "REQUEST_ID_HEADER",
     "ReplicaEndpoint",
-    "SEAL",
     "StaleConnectionError",
     "UpstreamClient",
-    "VERSIONS",
-    "belongs",
-    "has_end",
-    "pass_on",
-    "says_not_run",
+    "WEIGHT_VERSIONS_HEADER",
+    "declares_not_executed",
+    "end_to_end_headers",
+    "has_body_framing",
+    "is_response_to",
 ]
--- a/archhatch/upstream/event_stream.py
+++ b/archhatch/upstream/event_stream.py
@@ -1,12 +1,24 @@
-"""Events of a stream, cut out of its bytes."""
+"""Parsing of server-sent events (HTML Living Standard, section 9.2) out of the bytes of a response."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+_EVENT_END = b"\n\n"
+_WEIGHT_VERSIONS_FIELD = "x-archhatch-weight-versions"
+
 
 @dataclass(slots=True)
 class Event:
+    """One event of a stream.
+
+    Attributes:
+        id: Its `id` field, empty if it has none.
+        data: Its `data` fields, joined by newlines.
+        version: Its weight versions, empty if it names none.
+        raw: Its bytes as they came, with the blank line at the end.
+    """
+
     id: str
     data: str
     version: str
@@ -14,52 +26,59 @@
 
 
 class EventReader:
-    """Feed it bytes as they come; it gives the events that are whole.
+    r"""Cuts a byte stream into events.
 
-    >>> [e.data for e in EventReader().feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda")]
+    >>> [event.data for event in EventReader().feed(b"id: 1\ndata: a\n\nid: 2\nda")]
     ['a']
+
+    Attributes:
+        remainder: The bytes of the event that is not whole yet.
     """
 
-    def __init__(self):
-        self.rest = b""
+    __slots__ = ("remainder",)
+
+    def __init__(self) -> None:
+        self.remainder = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        buf = self.rest + data
-        out = []
+        """Takes the next bytes of the stream and returns the events that are whole now."""
+        buffer = self.remainder + data
+        events = []
         while True:
-            at = buf.find(b"\n\n")
-            if at < 0:
+            end = buffer.find(_EVENT_END)
+            if end < 0:
                 break
-            out.append(_event(buf[: at + 2]))
-            buf = buf[at + 2 :]
-        self.rest = buf
-        return out
+            end += len(_EVENT_END)
+            events.append(_parse_event(buffer[:end]))
+            buffer = buffer[end:]
+        self.remainder = buffer
+        return events
 
 
-def _event(raw: bytes) -> Event:
-    eid, data, version = "", [], ""
-    for row in raw.decode("utf-8", "surrogateescape").split("\n"):
-        name, sep, value = row.partition(":")
-        if not sep:
+def _parse_event(raw: bytes) -> Event:
+    event_id, data, version = "", [], ""
+    for line in raw.decode("utf-8", "surrogateescape").split("\n"):
+        name, colon, value = line.partition(":")
+        if not colon:
             continue
         value = value[1:] if value.startswith(" ") else value
         if name == "id":
-            eid = value
+            event_id = value
         elif name == "data":
             data.append(value)
-        elif name == "x-archhatch-weight-versions":
+        elif name == _WEIGHT_VERSIONS_FIELD:
             version = value
-    return Event(eid, "\n".join(data), version, raw)
+    return Event(event_id, "\n".join(data), version, raw)
 
 
-def follows(last: str | None, event_id: str) -> bool:
-    """Whether an event may stand behind another one: ids rise, where they are numbers.
+def is_next_event(last_id: str | None, event_id: str) -> bool:
+    """Whether an event may stand behind another one: ids rise where they are numbers, and differ where they are not.
 
-    >>> follows("3", "4"), follows("3", "3"), follows(None, "1"), follows("3", "")
+    >>> is_next_event("3", "4"), is_next_event("3", "3"), is_next_event(None, "1"), is_next_event("3", "")
     (True, False, True, False)
     """
-    if not last:
+    if not last_id:
         return True
-    if last.isdigit() and event_id.isdigit():
-        return int(event_id) > int(last)
-    return event_id not in ("", last)
+    if last_id.isdigit() and event_id.isdigit():
+        return int(event_id) > int(last_id)
+    return event_id not in ("", last_id)
--- a/archhatch/upstream/headers.py
+++ b/archhatch/upstream/headers.py
@@ -1,21 +1,28 @@
-"""The heads that the system reads and writes, and those it keeps from passing on."""
-
-ECHO = "X-Archhatch-Request-Id"
-DEADLINE = "X-Archhatch-Deadline-Ms"
-EXPECT_ID = "X-Archhatch-Expect-Instance"
-EXPECT_REV = "X-Archhatch-Expect-Revision"
-SEAL = "X-Archhatch-Reply-Seal"
-NOT_RUN = "X-Archhatch-Not-Executed"
-LOAD = "X-Archhatch-Instance-Load"
-VERSIONS = "X-Archhatch-Weight-Versions"
-HOLD = "X-Archhatch-Hold-Ms"
-URGENCY = "X-Archhatch-Urgency-Level"
-LAST_ID = "Last-Event-Id"
-KEY = "X-Archhatch-Key"
-TENANT = "X-Archhatch-Tenant"
-PROMISES = frozenset({408, 421, 429, 503})  # statuses which tell a client that its request has not run and never will
-
-_ONE_HOP = {
+"""Names of the HTTP headers that the system reads and writes, and the rules by which headers are passed on."""
+
+from collections.abc import Iterable
+
+Headers = list[tuple[str, str]]
+
+REQUEST_ID_HEADER = "X-Archhatch-Request-Id"  # a replica repeats it in its response
+DEADLINE_MS_HEADER = "X-Archhatch-Deadline-Ms"
+EXPECTED_INSTANCE_HEADER = "X-Archhatch-Expect-Instance"  # a replica with another id refuses the request
+EXPECTED_REVISION_HEADER = "X-Archhatch-Expect-Revision"
+REPLY_SEAL_HEADER = "X-Archhatch-Reply-Seal"  # marks a success as the engine's own
+NOT_EXECUTED_HEADER = "X-Archhatch-Not-Executed"  # a replica's proof that the request did not run
+INSTANCE_LOAD_HEADER = "X-Archhatch-Instance-Load"  # "running,waiting,slots"
+WEIGHT_VERSIONS_HEADER = "X-Archhatch-Weight-Versions"
+HOLD_MS_HEADER = "X-Archhatch-Hold-Ms"
+URGENCY_LEVEL_HEADER = "X-Archhatch-Urgency-Level"
+LAST_EVENT_ID_HEADER = "Last-Event-Id"
+API_KEY_HEADER = "X-Archhatch-Key"
+TENANT_HEADER = "X-Archhatch-Tenant"
+
+# Statuses that promise a client that its request did not run and never will.
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
+
+# RFC 9110, section 7.6.1, and the headers that each connection frames anew.
+_HOP_BY_HOP = {
     "connection",
     "keep-alive",
     "te",
@@ -28,28 +35,31 @@
     "content-length",
     "expect",
 }
-_IDENTITY = frozenset({KEY.lower(), TENANT.lower()})
+_IDENTITY = frozenset({API_KEY_HEADER.lower(), TENANT_HEADER.lower()})
 
 
-def pass_on(heads) -> list:
-    """Heads that concern more than one connection, in their order.
+def end_to_end_headers(headers: Iterable[tuple[str, str]]) -> Headers:
+    """Returns the headers that concern more than one connection, in their order.
 
-    >>> pass_on([("Host", "a"), ("Connection", "close, X-One"), ("X-One", "1"), ("X-Two", "2")])
+    >>> end_to_end_headers([("Host", "a"), ("Connection", "close, X-One"), ("X-One", "1"), ("X-Two", "2")])
     [('Host', 'a'), ('X-Two', '2')]
     """
-    heads = list(heads)
-    named = {w.strip().lower() for k, v in heads if k.lower() == "connection" for w in v.split(",")}
-    return [(k, v) for k, v in heads if k.lower() not in _ONE_HOP and k.lower() not in named]
+    headers = list(headers)
+    named = {
+        token.strip().lower() for name, value in headers if name.lower() == "connection" for token in value.split(",")
+    }
+    return [(name, value) for name, value in headers if name.lower() not in _HOP_BY_HOP and name.lower() not in named]
+
 
+def with_tenant(headers: Iterable[tuple[str, str]], tenant: str | None) -> Headers:
+    """Returns headers as a replica may see them: without an API key, and with the tenant that the key belongs to.
 
-def with_tenant(heads, tenant: str | None) -> list:
-    """Headers as a replica may see them: without a key, and with the tenant that the system found in place of any that
-    the sender named.
+    A tenant that the client named itself is dropped.
 
     >>> with_tenant([("x-archhatch-key", "k"), ("X-Archhatch-Tenant", "other"), ("A", "1")], "t")
     [('A', '1'), ('X-Archhatch-Tenant', 't')]
     >>> with_tenant([("A", "1")], None)
     [('A', '1')]
     """
-    out = [(name, value) for name, value in heads if name.lower() not in _IDENTITY]
-    return out if tenant is None else out + [(TENANT, tenant)]
+    visible = [(name, value) for name, value in headers if name.lower() not in _IDENTITY]
+    return visible if tenant is None else [*visible, (TENANT_HEADER, tenant)]
--- a/archhatch/upstream/load_balancer.py
+++ b/archhatch/upstream/load_balancer.py
@@ -1,299 +1,289 @@
-"""Picking a replica: by what is under way there, how it answered lately, where it stands, and its fitness."""
+"""Load balancing: which replica of a service a request goes to, and what its result shows of the replica."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from collections.abc import Callable, Collection
+from typing import TYPE_CHECKING, Any
 
+from ..health import ReplicaHealth
 from ..region_policy import Placement
-from ..health import EJECTED, HEALTHY, PeerStatistics, ReplicaHealth
-from .client import Answer, Ran
-from .headers import LOAD
-from .subset import Subset
-
-ZONE = 0.08  # costs, as shares of a replica's places: a send to another zone
-COLD = 0.05  # a new connection
-NEAR = 1.5  # times the time of its peers: what is below is not slow
-SLOW = 0.15  # one time more than its peers take,
-MOST_SLOW = 3.0  # ... up to so many: one that is slow and idle is still better than most that are busy
-FAILS = 2.1  # a failure, times their share: one among the last ten counts just under a place
-SILENT = 0.5  # no beats came lately, and no answers
-RESTING = 100.0  # a rest: only where nothing else is left
-TRIAL_EACH = 2  # picks of a service between trials of a replica that had a rest, for each trial that it still needs
-MOST_BLOCKS = 8  # of its subset's blocks that one of many nodes looks at, if a replica in them will do at all
-MOST_SHEDS = 4  # a replica that is full again and again is left alone for twice as long each time, so often
-HALF_RESTS = 4  # what was seen of a replica's pace counts half after so many rests
-MEAN_S = 5.0  # how long the mean of what all said of their loads does
-MEAN_MOST = 0.8  # what of it counts: one that said it is full is left for those of whom nothing is known
-HEARD_S = 0.5  # how long a replica's own word on its load holds
-
-
-@dataclass
-class ReplicaEndpoint:
-    """What this process knows of one replica."""
-
-    iid: str
-    address: str
-    service: str
-    zone: str
-    slots: int
-    draining: bool = False
-    silent: bool = False
-    under_way: int = 0
-    pace: float = 0.0
-    load: float = 0.0
-    load_at: float = float("-inf")
-    pace_at: float = 0.0
-    served_at: float = float("-inf")
-    sheds: int = 0  # times that it was full, since it served
-    full_until: float = float("-inf")
-    trial_at: int = -1000  # the service's count of picks at the last trial
-    health: ReplicaHealth = field(default_factory=ReplicaHealth)
-
-
-class _Pool:
-    """What is kept for a service: its replicas in their order, how they do together, and how often one was picked."""
-
-    def __init__(self, me: str, zone: str):
-        self.subset, self.peers = Subset(me, zone), PeerStatistics()
-        self.picks, self.pace, self.paces = 0, 0.0, 0
-        self.load, self.load_at = 0.0, float("-inf")  # the mean share of places in use, of what replicas told lately
-
-    def fold_pace(self, pace: float) -> None:
-        self.paces += 1
-        if self.paces > 10:
-            pace = min(pace, 1.5 * self.pace)  # a few slow ones must not make the measure
-        self.pace += max(0.02, 1.0 / self.paces) * (pace - self.pace)
+from ..routing import Route
+from .attempt_result import FIRST_SERVER_ERROR_STATUS, AttemptResult, Execution
+from .headers import INSTANCE_LOAD_HEADER
+from .replica_cost import REPORTED_LOAD_TTL_S, RESTING_COST, ReplicaCost
+from .replica_pool import ReplicaEndpoint, ReplicaPool
 
+if TYPE_CHECKING:
+    from ..membership import ReplicaEntry
 
-class LoadBalancer:
-    """Replicas by service, kept up to date from the roll; idle(address) tells where a connection is kept.
+NO_REPLICA_CODE = 3002
+REGION_OUT_CODE = 3101  # the placement policy leaves no replica at all
+
+MAX_BLOCKS = 8  # of its subset that one of many nodes looks at, if a replica in them will do at all
+POSITION_COST = 0.001  # for each place in the node's order: decides between replicas that are otherwise equal
+MAX_SHED_DOUBLINGS = 4  # a replica that is full again and again is left alone for twice as long each time, so often
+MAX_RELATIVE_LATENCY = 10.0  # what a single response may count at most
+MIN_TYPICAL_S = 1e-3  # routes without a latency target
+LATENCY_SAMPLE_WEIGHT = 0.2  # of a latency in a replica's moving mean
+FULL_STATUSES = (429, 503)
+
+_INSTANCE_LOAD_LOWER = INSTANCE_LOAD_HEADER.lower()
 
-    widen is the share of its places in use from which a replica counts as busy: when all of a block of the subset are,
-    the next block is looked at too. A node that is one of many wants few replicas, so a large share; one that makes all
-    calls of a service itself wants all replicas, so 0.
 
-    >>> p = LoadBalancer("z1")
-    >>> p.fold([{"id": "a", "addr": "1:1", "service": "s", "zone": "z1", "slots": 2, "state": "up"}])
-    >>> p.pick("s", set(), 0.0).iid
+class LoadBalancer:
+    """Knows the replicas by service, as the registry has them, and selects one for each request.
+
+    >>> balancer = LoadBalancer("z1")
+    >>> entry = {"id": "a", "addr": "1:1", "service": "s", "zone": "z1", "slots": 2, "state": "up"}
+    >>> balancer.apply_updates([entry])
+    >>> balancer.select_replica("s", set(), 0.0).instance_id
     'a'
+
+    Attributes:
+        replicas: All replicas by id.
+        by_service: The replicas of each service by id.
+        pools: What is known of each service's replicas together.
+        placement: Where the placement policy lets a route's requests run now.
+        last_answer_at: When a service's replicas in a zone answered last; kept only under a policy.
     """
 
-    def __init__(self, zone: str, me: str = "", rest_s: float = 1.0, widen: float = 0.0, idle=None):
-        self.zone, self.me, self.rest_s, self.widen, self.idle = zone, me, rest_s, widen, idle
-        self.all: dict[str, ReplicaEndpoint] = {}
-        self.by_service: dict[str, dict] = {}
-        self.by_addr: dict[str, ReplicaEndpoint] = {}
-        self.pools: dict[str, _Pool] = {}
+    def __init__(
+        self,
+        zone: str,
+        node_id: str = "",
+        rest_s: float = 1.0,
+        busy_share: float = 0.0,
+        has_idle_connection: Callable[[str], bool] | None = None,
+    ) -> None:
+        """Starts without replicas.
+
+        Args:
+            zone: This node's zone.
+            node_id: This node's id, by which it orders the replicas.
+            rest_s: How long an ejected replica rests at first, in seconds.
+            busy_share: The share of its slots in use from which on a replica counts as busy. When all of a block of the
+                subset are, the next block is looked at too. A node that is one of many wants few replicas, so a large
+                share; one that makes all calls of a service itself wants all replicas, so 0.
+            has_idle_connection: Tells whether an address can be reached without a new connection.
+        """
+        self._node_id, self._zone, self._rest_s = node_id, zone, rest_s
+        self._cost = ReplicaCost(zone, rest_s, busy_share, has_idle_connection)
+        self.replicas: dict[str, ReplicaEndpoint] = {}
+        self.by_service: dict[str, dict[str, ReplicaEndpoint]] = {}
+        self._by_address: dict[str, ReplicaEndpoint] = {}
+        self.pools: dict[str, ReplicaPool] = {}
         self.placement = Placement()
-        self.proofs: dict[tuple, float] = {}  # (service, zone) -> the last answer; kept only under a policy
+        self.last_answer_at: dict[tuple[str, str], float] = {}
+
+    def use_connections_of(self, has_idle_connection: Callable[[str], bool]) -> None:
+        """Prefers replicas that this function says can be reached without a new connection."""
+        self._cost.has_idle_connection = has_idle_connection
 
-    def fold(self, entries: list) -> None:
-        """Take up changed entries of the roll."""
+    def apply_updates(self, entries: list[ReplicaEntry]) -> None:
+        """Applies changed entries of the replica registry, as they came from a control node."""
         for entry in entries:
-            t = self.all.get(entry["id"])
+            replica = self.replicas.get(entry["id"])
             if entry["state"] == "gone":
-                if t is not None:
-                    self._drop(t)
+                if replica is not None:
+                    self._remove(replica)
                 continue
-            if t is None:
-                t = self._add(entry)
-            if entry["state"] == "draining" and not t.draining:
-                t.draining = True
-                self._leave(t)
-            was, t.silent = t.silent, bool(entry.get("silent"))
-            if was and not t.silent:
-                t.health.hint_recovery()
-
-    def _add(self, entry: dict) -> ReplicaEndpoint:
-        t = ReplicaEndpoint(entry["id"], entry["addr"], entry["service"], entry["zone"], entry["slots"])
-        old = self.by_addr.get(t.address)
-        if old is not None:  # a new life at an address ends the one that was there
-            self._drop(old)
-        self.all[t.iid] = self.by_addr[t.address] = t
-        self.by_service.setdefault(t.service, {})[t.iid] = t
-        pool = self.pools.get(t.service)
+            if replica is None:
+                replica = self._add(entry)
+            if entry["state"] == "draining" and not replica.is_draining:
+                replica.is_draining = True
+                self._leave_pool(replica)
+            was_silent = replica.is_silent
+            replica.is_silent = bool(entry.get("silent"))
+            if was_silent and not replica.is_silent:
+                replica.health.hint_recovery()
+
+    def _add(self, entry: ReplicaEntry) -> ReplicaEndpoint:
+        replica = ReplicaEndpoint(entry["id"], entry["addr"], entry["service"], entry["zone"], entry["slots"])
+        previous = self._by_address.get(replica.address)
+        if previous is not None:  # a new process at an address replaces the one that was there
+            self._remove(previous)
+        self.replicas[replica.instance_id] = self._by_address[replica.address] = replica
+        self.by_service.setdefault(replica.service, {})[replica.instance_id] = replica
+        pool = self.pools.get(replica.service)
         if pool is None:
-            pool = self.pools[t.service] = _Pool(self.me, self.zone)
-        pool.subset.add(t.iid, t.zone, t)
-        t.health = ReplicaHealth(pool.peers)
-        return t
-
-    def _drop(self, t: ReplicaEndpoint) -> None:
-        del self.all[t.iid]
-        self.by_service[t.service].pop(t.iid, None)
-        self._leave(t)
-        if self.by_addr.get(t.address) is t:
-            del self.by_addr[t.address]
-
-    def _leave(self, t: ReplicaEndpoint) -> None:
-        pool = self.pools[t.service]
-        pool.subset.drop(t.iid)
-        pool.peers.remove(t.health)
-
-    def pick(
-        self, service: str, tried: set, now: float, route=None, sure: bool = False, early: bool = False
+            pool = self.pools[replica.service] = ReplicaPool(self._node_id, self._zone)
+        pool.subset.add(replica.instance_id, replica.zone, replica)
+        replica.health = ReplicaHealth(pool.peers)
+        return replica
+
+    def _remove(self, replica: ReplicaEndpoint) -> None:
+        del self.replicas[replica.instance_id]
+        self.by_service[replica.service].pop(replica.instance_id, None)
+        self._leave_pool(replica)
+        if self._by_address.get(replica.address) is replica:
+            del self._by_address[replica.address]
+
+    def _leave_pool(self, replica: ReplicaEndpoint) -> None:
+        pool = self.pools[replica.service]
+        pool.subset.remove(replica.instance_id)
+        pool.peers.remove(replica.health)
+
+    def select_replica(
+        self,
+        service: str,
+        tried: Collection[str],
+        now: float,
+        route: Route | None = None,
+        runs_once: bool = False,
+        is_hedge: bool = False,
     ) -> ReplicaEndpoint | None:
-        """The best replica that was not tried yet, of as few as will do.
-
-        sure: the request may run only once, so it is no trial of a replica that had a rest. early: it is out already;
-        a second replica must be well and have places free, or none is given. lane: only where the placement policy lets
-        it run now.
+        """Selects the best replica that was not tried yet, and counts the selection.
+
+        Args:
+            service: The service that the request goes to.
+            tried: Ids of the replicas that the request was sent to already.
+            now: The time on the steady clock.
+            route: The request's route: only replicas where the placement policy lets it run now.
+            runs_once: Whether the request may run only once, so that it is no trial of a replica after a rest.
+            is_hedge: Whether the request is out already, so that only a fit replica with free slots will do.
+
+        Returns:
+            The replica, or None if there is none.
         """
         pool = self.pools.get(service)
         if pool is None:
             return None
         zones = None if route is None else self.placement.zones(route)
-        best, best_cost, n = None, None, 0
-        for count, block in enumerate(pool.subset.blocks(), 1):
-            for t in block:
-                n += 1
-                if t.iid in tried or t.draining or (zones is not None and t.zone not in zones):
+        best = self._cheapest(pool, tried, now, zones, runs_once or is_hedge)
+        if is_hedge and (best is None or not self._cost.is_fit(best, pool, now)):
+            return None
+        pool.selections += 1
+        if best is not None and best.health.trials_left:
+            best.last_trial = pool.selections
+        return best
+
+    def _cheapest(
+        self,
+        pool: ReplicaPool,
+        tried: Collection[str],
+        now: float,
+        zones: frozenset[str] | None,
+        no_trial: bool,
+    ) -> ReplicaEndpoint | None:
+        """The replica of least cost in as few blocks of the subset as will do."""
+        best, best_cost, position = None, 0.0, 0
+        for block_count, block in enumerate(pool.subset.blocks(), 1):
+            for replica in block:
+                position += 1
+                if replica.instance_id in tried or replica.is_draining:
                     continue
-                cost = self._cost(t, pool, now, sure or early) + 0.001 * n
+                if zones is not None and replica.zone not in zones:
+                    continue
+                cost = self._cost.of(replica, pool, now, no_trial) + POSITION_COST * position
                 if best is None or cost < best_cost:
-                    best, best_cost = t, cost
-            if best is not None and (
-                best_cost < 0.0
-                or self._free(best, pool, now)
-                or self.widen
-                and count >= MOST_BLOCKS
-                and best_cost < RESTING
-            ):
+                    best, best_cost = replica, cost
+            if best is not None and self._is_good_enough(best, best_cost, block_count, pool, now):
                 break
-        if early and (best is None or not self._well(best, pool, now)):
-            return None
-        pool.picks += 1
-        if best is not None and best.health.trials_left:
-            best.trial_at = pool.picks
         return best
 
-    def has_other(self, service: str, iid: str, route) -> bool:
-        """Whether a request may go on at another replica than this one, under the placement policy; a mere question,
-        unlike pick()."""
+    def _is_good_enough(
+        self, best: ReplicaEndpoint, cost: float, block_count: int, pool: ReplicaPool, now: float
+    ) -> bool:
+        """Whether no further block needs to be looked at."""
+        if cost < 0.0 or self._cost.is_idle_enough(best, pool, now):
+            return True
+        return bool(self._cost.busy_share) and block_count >= MAX_BLOCKS and cost < RESTING_COST
+
+    def has_alternative(self, service: str, instance_id: str, route: Route) -> bool:
+        """Whether a request may go on at another replica than this one, under the placement policy."""
         zones = self.placement.zones(route)
         return any(
-            replica.iid != iid and not replica.draining and (zones is None or replica.zone in zones)
+            replica.instance_id != instance_id and not replica.is_draining and (zones is None or replica.zone in zones)
             for replica in (self.by_service.get(service) or {}).values()
         )
 
-    def refusal(self, service: str, route) -> int:
-        """The code for a lane's request that no replica was picked for: whether the policy left none at all."""
+    def refusal_code(self, service: str, route: Route) -> int:
+        """The result code for a request that no replica was selected for: whether the policy left none at all."""
         zones = self.placement.zones(route)
-        if zones is None or any(t.zone in zones for t in (self.by_service.get(service) or {}).values()):
-            return 3002
-        return 3101
-
-    def proved(self, now: float) -> list:
-        """Answers since the last call, for the control nodes: [service, zone, seconds ago]."""
-        out, self.proofs = [[s, z, now - at] for (s, z), at in self.proofs.items()], {}
-        return out
-
-    def _free(self, t: ReplicaEndpoint, pool: _Pool, now: float) -> bool:
-        return self._busy(t, now) <= self.widen * t.slots and self._well(t, pool, now)
-
-    def _well(self, t: ReplicaEndpoint, pool: _Pool, now: float) -> bool:
-        """It does well, and has a place free."""
-        return (
-            t.health.state is HEALTHY
-            and self._busy(t, now) < t.slots
-            and not self._dark(t, now)
-            and self._slow(t, pool, now) < 1.0
-        )
+        if zones is None:
+            return NO_REPLICA_CODE
+        replicas = (self.by_service.get(service) or {}).values()
+        return NO_REPLICA_CODE if any(replica.zone in zones for replica in replicas) else REGION_OUT_CODE
+
+    def take_answer_ages(self, now: float) -> list[list[Any]]:
+        """Returns the answers since the last call, for the control nodes, and forgets them.
 
-    def _busy(self, t: ReplicaEndpoint, now: float) -> float:
-        """Places in use there, as far as is known."""
-        if now < t.full_until:
-            return t.under_way + t.slots
-        return t.under_way + (t.load if now - t.load_at < HEARD_S else 0.0)
-
-    def _used(self, t: ReplicaEndpoint, pool: _Pool, now: float) -> float:
-        """The share of its places in use. Who said nothing lately is taken to be as busy as the others: else each word
-        of load would send the next request to a replica that is only unknown, on a new connection."""
-        share = self._busy(t, now) / max(1, t.slots)
-        if now >= t.full_until and now - t.load_at >= HEARD_S and now - pool.load_at < MEAN_S:
-            share += min(MEAN_MOST, pool.load)
-        return share
-
-    def _dark(self, t: ReplicaEndpoint, now: float) -> bool:
-        """Neither beats nor answers came lately. A missing beat alone is a hint that an answer refutes."""
-        return t.silent and now - t.served_at > self.rest_s
-
-    def _slow(self, t: ReplicaEndpoint, pool: _Pool, now: float) -> float:
-        """How many times more than its peers it takes; what was seen long ago counts less."""
-        more = t.pace / max(0.5, pool.pace) - NEAR
-        return more * self._left(t, now) if more > 0.0 else 0.0
-
-    def _left(self, t: ReplicaEndpoint, now: float) -> float:
-        """How much of what was seen of its pace still counts."""
-        return 0.5 ** (max(0.0, now - t.pace_at) / (HALF_RESTS * self.rest_s))
-
-    def _cost(self, t: ReplicaEndpoint, pool: _Pool, now: float, sure: bool) -> float:
-        slow = self._slow(t, pool, now)
-        cost = self._used(t, pool, now) * (1.0 + slow) + SLOW * min(MOST_SLOW, slow)
-        if t.zone != self.zone:
-            cost += ZONE
-        if self.idle is not None and not self.idle(t.address):
-            cost += COLD
-        if self._dark(t, now):
-            cost += SILENT
-        fit = t.health
-        state = fit.update(now)
-        if state is HEALTHY:
-            return cost + FAILS * fit.failure_ratio(now)
-        if state is EJECTED:
-            return cost + RESTING
-        if fit.trials_left:
-            if not sure and not t.under_way and pool.picks - t.trial_at >= TRIAL_EACH * fit.trials_left:
-                return cost - 2.0  # a trial: ahead of all others
-            cost += 1.0
-        return cost + FAILS * fit.failure_ratio(now) * (2.0 if sure else 1.0)
-
-    def judge(self, t: ReplicaEndpoint, answer: Answer, now: float, took: float, typical: float) -> None:
-        """Fold what an answer shows of a replica: its health, its pace and its load.
-
-        >>> # load_balancer.judge(line, answer, clock.now(), 0.02, route.aim_s * 0.3)
+        Returns:
+            Lists of service, zone and age in seconds, as the feed's question carries them.
         """
-        for name, value in answer.heads:
-            if name.lower() == LOAD.lower():
-                self.note_load(t, value, now)
-        if answer.ran is Ran.YES and answer.status < 500:
-            self.note(t, "served", now, took, typical)
-        elif answer.ran is Ran.NO and answer.status in (429, 503):
-            self._shed(t, now)
-        elif answer.stale:
-            pass  # it forgot a connection; its health is not in question
-        elif answer.ran is Ran.NO or answer.silent:
-            self.note(t, "vanished", now)
+        ages = [[service, zone, now - at] for (service, zone), at in self.last_answer_at.items()]
+        self.last_answer_at = {}
+        return ages
+
+    def record_result(
+        self, replica: ReplicaEndpoint, result: AttemptResult, now: float, took_s: float, typical_s: float
+    ) -> None:
+        """Records what a result shows of a replica: its health, its latency and its load.
+
+        Args:
+            replica: The replica that the request was sent to.
+            result: The result.
+            now: The time on the steady clock.
+            took_s: How long the request took.
+            typical_s: How long one of its route typically takes.
+        """
+        for name, value in result.headers:
+            if name.lower() == _INSTANCE_LOAD_LOWER:
+                self.record_load(replica, value, now)
+        if result.execution is Execution.EXECUTED and result.status < FIRST_SERVER_ERROR_STATUS:
+            self.record_outcome(replica, "served", now, took_s, typical_s)
+        elif result.execution is Execution.NOT_EXECUTED and result.status in FULL_STATUSES:
+            self._record_shed(replica, now)
+        elif result.is_stale_connection:
+            pass  # the replica forgot a connection; its health is not in question
+        elif result.execution is Execution.NOT_EXECUTED or result.is_unresponsive:
+            self.record_outcome(replica, "vanished", now)
         else:
-            self.note(t, "faulted", now)
-
-    def _shed(self, t: ReplicaEndpoint, now: float) -> None:
-        """It was full: load, no ill health."""
-        t.health.record("shed", now, self.rest_s)
-        t.full_until = now + HEARD_S * 2 ** min(t.sheds, MOST_SHEDS)
-        t.sheds += 1
-
-    def note(self, t: ReplicaEndpoint, what: str, now: float, took: float | None = None, typical: float = 0.1) -> None:
-        """Fold what a send showed."""
-        t.health.record(what, now, self.rest_s)
-        if what == "served":
-            t.served_at, t.sheds, t.full_until = now, 0, float("-inf")
-        if what == "served" and self.placement.policy is not None:
-            self.proofs[t.service, t.zone] = now
-        if took is not None:
-            rel, pool = min(10.0, took / max(typical, 1e-3)), self.pools[t.service]
-            t.pace = pool.pace + (t.pace - pool.pace) * self._left(t, now)
-            t.pace += 0.2 * (rel - t.pace)
-            t.pace_at = now
-            pool.fold_pace(rel)
-
-    def note_load(self, t: ReplicaEndpoint, head: str, now: float) -> None:
-        """Fold a replica's own word on its load: running, waiting, slots."""
+            self.record_outcome(replica, "faulted", now)
+
+    def _record_shed(self, replica: ReplicaEndpoint, now: float) -> None:
+        """Records that a replica was full: load, no ill health."""
+        replica.health.record("shed", now, self._rest_s)
+        replica.full_until = now + REPORTED_LOAD_TTL_S * 2 ** min(replica.consecutive_sheds, MAX_SHED_DOUBLINGS)
+        replica.consecutive_sheds += 1
+
+    def record_outcome(
+        self, replica: ReplicaEndpoint, outcome: str, now: float, took_s: float | None = None, typical_s: float = 0.1
+    ) -> None:
+        """Records what a request showed.
+
+        Args:
+            replica: The replica that the request was sent to.
+            outcome: "served", "late", "faulted" or "vanished", as ReplicaHealth knows them.
+            now: The time on the steady clock.
+            took_s: How long the request took; None if that says nothing of the replica.
+            typical_s: How long one of its route typically takes.
+        """
+        replica.health.record(outcome, now, self._rest_s)
+        if outcome == "served":
+            replica.served_at = now
+            replica.consecutive_sheds = 0
+            replica.full_until = float("-inf")
+            if self.placement.policy is not None:
+                self.last_answer_at[replica.service, replica.zone] = now
+        if took_s is not None:
+            self._record_latency(replica, min(MAX_RELATIVE_LATENCY, took_s / max(typical_s, MIN_TYPICAL_S)), now)
+
+    def _record_latency(self, replica: ReplicaEndpoint, relative_latency: float, now: float) -> None:
+        pool = self.pools[replica.service]
+        mean = pool.mean_relative_latency
+        replica.relative_latency = mean + (replica.relative_latency - mean) * self._cost.latency_weight(replica, now)
+        replica.relative_latency += LATENCY_SAMPLE_WEIGHT * (relative_latency - replica.relative_latency)
+        replica.relative_latency_at = now
+        pool.add_latency(relative_latency)
+
+    def record_load(self, replica: ReplicaEndpoint, header: str, now: float) -> None:
+        """Records a replica's report of its load, "running,waiting,slots"; one that cannot be read is passed over."""
         try:
-            run, wait, slots = (int(x) for x in head.split(","))
+            running, waiting, slots = (int(part) for part in header.split(","))
         except ValueError:
             return
-        t.load, t.load_at, t.slots = max(0.0, run + wait - t.under_way), now, max(1, slots)
-        pool = self.pools[t.service]
-        pool.load += (0.1 if now - pool.load_at < MEAN_S else 1.0) * (t.load / t.slots - pool.load)
-        pool.load_at = now
+        replica.reported_load = max(0.0, running + waiting - replica.in_flight)
+        replica.reported_load_at = now
+        replica.slots = max(1, slots)
+        self.pools[replica.service].add_load(replica.reported_load / replica.slots, now)
--- a/archhatch/upstream/subset.py
+++ b/archhatch/upstream/subset.py
@@ -1,64 +1,82 @@
-"""Subsetting: of a service's many replicas a node uses few, so that their connections stay warm."""
+"""Subsetting: of a service's many replicas a node uses few, so that their connections stay warm.
+
+Subsets by rendezvous hashing (Thaler and Ravishankar, 1998): each node ranks the replicas by a hash of both names.
+"""
 
 from __future__ import annotations
 
 import hashlib
 from bisect import bisect_left, insort
+from collections.abc import Iterator
+from typing import Any, Generic, TypeVar
+
+REPLICAS_OF_OWN_ZONE = 3  # in each block: the least busy of three is seldom full while others are free
+_DIGEST_BYTES = 8
 
-HOME = 3  # of the node's own zone in each block: the least busy of three is seldom full while others are free
+Replica = TypeVar("Replica")
 
 
-class Subset:
+class Subset(Generic[Replica]):
     """A service's replicas in this node's rendezvous order, in blocks: some of its own zone, one of each other zone.
 
-    Each node ranks by its own name, so the nodes of a zone use different replicas and all replicas are used about
-    alike. A replica is hashed once in its life; a change costs a search, not a sort.
+    Each node ranks by its own name, so the nodes of a zone use different replicas, and all replicas get about the same
+    load. A replica is hashed once; a change costs a search, not a sort.
 
-    >>> s = Subset("edge-1", "z1"); s.add("a", "z1", 1); s.add("b", "z2", 2); [sorted(x) for x in s.blocks()]
+    >>> subset = Subset("edge-1", "z1")
+    >>> subset.add("a", "z1", 1)
+    >>> subset.add("b", "z2", 2)
+    >>> [sorted(block) for block in subset.blocks()]
     [[1, 2]]
     """
 
-    def __init__(self, key: str, zone: str):
-        self.key, self.zone = key, zone
-        self.zones: dict[str, list] = {}  # zone -> [(digest, id, replica)], sorted
-        self.placed: dict[str, tuple] = {}
-        self._first: list | None = None
+    def __init__(self, node_id: str, zone: str) -> None:
+        self._node_id, self._zone = node_id, zone
+        self._ranked_by_zone: dict[str, list[tuple[bytes, str, Replica]]] = {}  # sorted by digest and id
+        self._placed: dict[str, tuple[str, bytes]] = {}  # replica's id -> its zone and digest
+        self._first_block: list[Replica] | None = None  # cached, as most selections look no further
 
-    def add(self, iid: str, zone: str, replica) -> None:
-        """Put a replica at its place; one that has a place keeps it."""
-        if iid in self.placed:
+    def add(self, instance_id: str, zone: str, replica: Replica) -> None:
+        """Adds a replica; one that is there already stays as it is."""
+        if instance_id in self._placed:
             return
-        digest = hashlib.blake2b(f"{self.key}|{iid}".encode(), digest_size=8).digest()
-        self.placed[iid] = (zone, digest)
-        insort(self.zones.setdefault(zone, []), (digest, iid, replica), key=_rank)
-        self._first = None
-
-    def drop(self, iid: str) -> None:
-        """Take a replica out, if it is in."""
-        zone, digest = self.placed.pop(iid, (None, b""))
-        if zone is None:
+        digest = hashlib.blake2b(f"{self._node_id}|{instance_id}".encode(), digest_size=_DIGEST_BYTES).digest()
+        self._placed[instance_id] = (zone, digest)
+        insort(self._ranked_by_zone.setdefault(zone, []), (digest, instance_id, replica), key=_rank)
+        self._first_block = None
+
+    def remove(self, instance_id: str) -> None:
+        """Removes a replica, if it is there."""
+        placed = self._placed.pop(instance_id, None)
+        if placed is None:
             return
-        row = self.zones[zone]
-        del row[bisect_left(row, (digest, iid), key=_rank)]
-        if not row:
-            del self.zones[zone]
-        self._first = None
-
-    def blocks(self):
-        """Lists of replicas, the node's own subset first; whoever finds none free there goes on to the next."""
-        if self._first is None:
-            self._first = self._block(0)
-        block, n = self._first, 0
+        zone, digest = placed
+        ranked = self._ranked_by_zone[zone]
+        del ranked[bisect_left(ranked, (digest, instance_id), key=_rank)]
+        if not ranked:
+            del self._ranked_by_zone[zone]
+        self._first_block = None
+
+    def blocks(self) -> Iterator[list[Replica]]:
+        """Yields lists of replicas, the node's own subset first; who finds none free there goes on to the next."""
+        if self._first_block is None:
+            self._first_block = self._block(0)
+        block, number = self._first_block, 0
         while block:
             yield block
-            n += 1
-            block = self._block(n)
+            number += 1
+            block = self._block(number)
 
-    def _block(self, n: int) -> list:
-        out = [x[2] for x in self.zones.get(self.zone, ())[n * HOME : (n + 1) * HOME]]
-        others = [row[n] for zone, row in self.zones.items() if zone != self.zone and n < len(row)]
-        return out + [x[2] for x in sorted(others, key=_rank)]
+    def _block(self, number: int) -> list[Replica]:
+        first = number * REPLICAS_OF_OWN_ZONE
+        own = self._ranked_by_zone.get(self._zone, [])[first : first + REPLICAS_OF_OWN_ZONE]
+        others = [
+            ranked[number]
+            for zone, ranked in self._ranked_by_zone.items()
+            if zone != self._zone and number < len(ranked)
+        ]
+        return [placed[2] for placed in own] + [placed[2] for placed in sorted(others, key=_rank)]
 
 
-def _rank(entry) -> tuple:
-    return entry[:2]
+def _rank(placed: tuple[Any, ...]) -> tuple[Any, ...]:
+    """Orders by digest and id; replicas themselves do not compare."""
+    return placed[:2]
--- a/benchmarks/microbench.py
+++ b/benchmarks/microbench.py
@@ -58,15 +58,15 @@
 
 def picking(count):
     p, ents = LoadBalancer(ZONES[0], "edge-1"), entries(count)
-    p.fold(ents)
+    p.apply_updates(ents)
 
     def churn(k):  # one replica of the service changes between two requests
-        p.fold([{**ents[k % count], "state": "gone"}, ents[k % count]])
-        p.pick("s0", set(), 0.0)
+        p.apply_updates([{**ents[k % count], "state": "gone"}, ents[k % count]])
+        p.select_replica("s0", set(), 0.0)
 
     calls = max(5, 20000 // count)
     return {
-        "pick": least(lambda k: p.pick("s0", set(), 0.0), calls),
+        "pick": least(lambda k: p.select_replica("s0", set(), 0.0), calls),
         "pick after a change": least(churn, calls),
         "fold, each entry new": least(lambda k: LoadBalancer(ZONES[0], "e").fold(ents), 1, 1) / count,
     }
--- a/tests/data_plane/test_at_most_once.py
+++ b/tests/data_plane/test_at_most_once.py
@@ -10,10 +10,10 @@
 
 from archhatch.routing import RoutingTable
 from archhatch.runtime import StateBoard, Clock, Counters, Result
-from archhatch.upstream import ONCE, UpstreamClient, LoadBalancer, Ran
-from archhatch.data_plane.forward import Forward
-from archhatch.data_plane.live_requests import Live
-from archhatch.data_plane.relay import Relay
+from archhatch.upstream import UpstreamClient, LoadBalancer, Execution, Delivery
+from archhatch.data_plane.forward import RequestForwarder
+from archhatch.data_plane.live_requests import LiveRequestTracker
+from archhatch.data_plane.relay import StreamRelay
 
 EVENTS = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
 
@@ -92,21 +92,23 @@
 
     async def start(self):
         self.upstream_client, self.load_balancer, clock = UpstreamClient(), LoadBalancer("z"), Clock()
-        self.load_balancer.fold(
+        self.load_balancer.apply_updates(
             [
                 {"id": f"i{n}", "addr": r.address, "service": "s", "zone": zone, "slots": 6, "state": "up"}
                 for n, (r, zone) in enumerate([(self.first, "z"), (self.second, "far")])
             ]
         )
-        way = Relay if self.kind == "streaming" else Forward
-        self.way = way(self.upstream_client, self.load_balancer, clock, self.counters, Live(StateBoard(), clock, 1.0))
+        live_requests = LiveRequestTracker(StateBoard(), clock, 1.0)
+        uses = (self.upstream_client, self.load_balancer, clock, self.counters, live_requests)
+        streams = self.kind == "streaming"
+        self.way = StreamRelay(*uses).relay if streams else RequestForwarder(*uses).forward
         self.server = web.Server(self.serve, access_log=None)
         self.site = await asyncio.get_running_loop().create_server(self.server, "127.0.0.1", 0)
         return self
 
     async def serve(self, request):
-        out = await self.way.run(
-            request, self.plan.route("h", "/q/x"), list(request.headers.items()), await request.content.read()
+        out = await self.way(
+            request, self.plan.find_route("h", "/q/x"), list(request.headers.items()), await request.content.read()
         )
         return web.Response(status=out.status, body=out.body, headers=out.head) if isinstance(out, Result) else out
 
@@ -245,22 +247,32 @@
             def send():
                 return asyncio.ensure_future(
                     upstream_client.send(
-                        address, "i", "POST", "/", [("X-Archhatch-Request-Id", "r")], b"", "r", 30.0, ONCE
+                        address,
+                        "i",
+                        "POST",
+                        "/",
+                        [("X-Archhatch-Request-Id", "r")],
+                        b"",
+                        "r",
+                        30.0,
+                        Delivery.AT_MOST_ONCE,
                     )
                 )
 
             first = send()
             sock = await accept(loop, listener)
             sock.send(GOOD)
-            assert (await first).ran is Ran.YES and upstream_client.kept.idle(address)
+            assert (await first).execution is Execution.EXECUTED and upstream_client.connector.has_idle_connection(
+                address
+            )
             trouble(sock)
             if seen:  # else the process stood still, and did not read it yet
-                while upstream_client.kept.idle(address):
+                while upstream_client.connector.has_idle_connection(address):
                     await asyncio.sleep(0)
             again = send()
             fresh = await accept(loop, listener)
             fresh.send(GOOD)
-            assert (await again).ran is Ran.YES
+            assert (await again).execution is Execution.EXECUTED
             await upstream_client.close()
             sock.close()
             fresh.close()
@@ -282,13 +294,16 @@
                 b"x",
                 "r",
                 30.0,
-                ONCE,
+                Delivery.AT_MOST_ONCE,
                 lambda: may.append(allowed) or allowed,
             )
 
         for allowed in (False, True, False, True):
             answer = await send(allowed)
-            assert answer.ran is (Ran.YES if allowed else Ran.NO) and not answer.silent
+            assert (
+                answer.execution is (Execution.EXECUTED if allowed else Execution.NOT_EXECUTED)
+                and not answer.is_unresponsive
+            )
         assert replica.ran == 2 and may == [False, True, False, True]
         await upstream_client.close()
         replica.listener.close()
