--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -153,7 +153,7 @@
             i = next(i for i, s in w.stores.items() if s is holder(w))
             old = w.stores.pop(i)
             await old.leave()
-            assert old.counters.counts["tenure.claim.1000"] >= 2  # its own, and the one it made for the next
+            assert old.counters.counts["lease.claim.1000"] >= 2  # its own, and the one it made for the next
             assert await w.read_all("lot1") == rows
         finally:
             await w.end()
