--- a/archhatch/control/admin_api.py
+++ b/archhatch/control/admin_api.py
@@ -11,6 +11,7 @@
 from ..rpc import CallRefusedError
 from ..runtime import error_result, json_result
 from ..singleton_roles.admin import SingletonRoleAdmin
+from . import topics
 from .api_requests import (
     ChangeConfigRequest,
     DeregisterRequest,
@@ -119,7 +120,7 @@
         version = node.registry.version
         node.registry.record_heartbeat(entry, node.clock.now())
         if node.registry.version != version:
-            node.state_board.notify("news")
+            node.state_board.notify(topics.FEED)
         if entry["state"] == "draining":
             await self._push_to_majority(entry)
         return json_result(DONE, {})
@@ -130,7 +131,7 @@
         last: Any = node.registry.replicas.get(request.replica_id) or _unknown_replica(request.replica_id)
         entry = cast(ReplicaEntry, {**last, "state": "gone", "seq": last["seq"] + 1})
         node.registry.record_heartbeat(entry, node.clock.now())
-        node.state_board.notify("news")
+        node.state_board.notify(topics.FEED)
         await self._push_to_majority(entry)
         return json_result(DONE, {})
 
