--- a/archhatch/capacity/probes/shares.py
+++ b/archhatch/capacity/probes/shares.py
@@ -35,7 +35,7 @@
             term=1,
             window_records=[],
             append_result=self._list,
-            over=lambda: None,
+            step_down=lambda: None,
         )
         names = [f"w{i:02d}" for i in range(WORKERS)]
         self.counters = need(frame, "Counters")()
@@ -47,7 +47,7 @@
             plan=need("routing", "RoutingTable")(plan(SERVICES)),
             clock=need(frame, "Clock")(),
             state_board=need(frame, "StateBoard")(),
-            news=types.SimpleNamespace(busy={}),
+            config_watcher=types.SimpleNamespace(live_totals={}),
             counters=self.counters,
             heartbeat_interval_s=0.2,
             quiet_s=60.0,
--- a/archhatch/rollout_controller/weight_orders.py
+++ b/archhatch/rollout_controller/weight_orders.py
@@ -87,6 +87,7 @@
     def _next_load(self) -> _Load | None:
         host = self.host
         best: _Load | None = None
+        now = host.clock.now()
         named = host.named()
         for leadership in host.leaderships.values():
             for model in host.models_of(leadership.run):
@@ -98,7 +99,7 @@
                     continue
                 urgent = is_urgent(leadership.batch_jobs.values(), engines, model, revision)
                 for engine in engines:
-                    if not self._may_load(leadership, engine, model, revision):
+                    if not self._may_load(leadership, engine, model, revision, now):
                         continue
                     rank = rank_of(engine, model, urgent)
                     if best is None or rank < best.rank:
@@ -111,11 +112,17 @@
             return True
         return self.host.leader.lacks_replicas(leadership, model)
 
-    def _may_load(self, leadership: Any, engine: Engine, model: str, revision: int) -> bool:  # noqa: ANN401 - as above
+    def _may_load(
+        self,
+        leadership: Any,  # noqa: ANN401 - as above
+        engine: Engine,
+        model: str,
+        revision: int,
+        now: float,
+    ) -> bool:
         """Whether an engine lacks a version and may be ordered to load it now."""
         if engine.has_revision(model, revision) or engine.has_order_under_way:
             return False
-        now = self.host.clock.now()
         if engine.health.update(now) is EJECTED or engine.is_unreachable:
             return False
         return engine.paused_until <= now and leadership.may_order(engine.instance_id)
--- a/archhatch/share_group/messages.py
+++ b/archhatch/share_group/messages.py
@@ -172,7 +172,7 @@
     batch_number: int | None = wire("batch", default=None)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class AcquiredRecord(Message):
     """An acquired entry as its worker gets it; the leader writes it with acquired_record_document.
 
@@ -211,7 +211,7 @@
     host: str = wire("host")
     path: str = wire("path")
     headers: list = wire("heads")
-    tenant: str | None = wire("tenant")
+    tenant: str | None = wire("tenant", default=None)
     payload: str = wire("payload")
     scorer: dict | None = wire("scorer")
     min_version: int = wire("least")
--- a/benchmarks/microbench.py
+++ b/benchmarks/microbench.py
@@ -68,13 +68,13 @@
     return {
         "pick": least(lambda k: p.select_replica("s0", set(), 0.0), calls),
         "pick after a change": least(churn, calls),
-        "fold, each entry new": least(lambda k: LoadBalancer(ZONES[0], "e").fold(ents), 1, 1) / count,
+        "fold, each entry new": least(lambda k: LoadBalancer(ZONES[0], "e").apply_updates(ents), 1, 1) / count,
     }
 
 
 def engines(count):
     es, ents = Engines(), entries(count)
-    out = {"engines fold, each entry new": least(lambda k: Engines().fold(ents), 1, 1) / count}
+    out = {"engines fold, each entry new": least(lambda k: Engines().apply_entries(ents), 1, 1) / count}
     es.apply_entries(ents)
     out["engines of a service"] = least(lambda k: es.of_service("s0"), max(20, 20000 // count))
     return out
