--- a/archhatch/control/handlers.py
+++ b/archhatch/control/handlers.py
@@ -7,6 +7,7 @@
 from ..membership import shard_of
 from ..rpc import CallRefusedError, Handlers
 from .messages import (
+    AcceptRequest,
     CommitNotice,
     LiveRequestsReport,
     Ping,
@@ -72,7 +73,7 @@
         handlers.on("part.commit")(self._commit)
         handlers.on("part.hear")(self._get_state)
 
-    def _acceptor(self, request: VoteRequest) -> Acceptor:
+    def _acceptor(self, request: VoteRequest | AcceptRequest) -> Acceptor:
         return self.node.registers.acceptors[request.shard]
 
     async def _prepare(self, document: dict, _body: bytes) -> dict:
@@ -80,7 +81,7 @@
         return {"me": self.node.id, **await self._acceptor(request).prepare(request.proposal_number)}
 
     async def _accept(self, document: dict, _body: bytes) -> dict:
-        request = VoteRequest.from_document(document)
+        request = AcceptRequest.from_document(document)
         return {"me": self.node.id, **await self._acceptor(request).accept(request.proposal_number, request.state)}
 
     async def _confirm(self, document: dict, _body: bytes) -> dict:
--- a/archhatch/control/messages.py
+++ b/archhatch/control/messages.py
@@ -66,17 +66,30 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteRequest(Message):
-    """A proposer's question to an acceptor: prepare, accept or confirm.
+    """A proposer's question to an acceptor: prepare or confirm.
 
     Attributes:
         shard: The register.
         proposal_number: The number of the proposal, in its wire form.
-        state: The state to accept; only in `part.accept`.
     """
 
     shard: str = wire("part")
     proposal_number: list = wire("ballot")
-    state: Any = wire("state", default=None, optional=True)
+
+
+@dataclass(frozen=True, slots=True)
+class AcceptRequest(Message):
+    """Asks an acceptor to accept a state (`part.accept`).
+
+    Attributes:
+        shard: The register.
+        proposal_number: The number of the proposal, in its wire form.
+        state: The state to accept. A call without it is refused, so that it never stands for an empty state.
+    """
+
+    shard: str = wire("part")
+    proposal_number: list = wire("ballot")
+    state: Any = wire("state")
 
 
 @dataclass(frozen=True, slots=True)
--- a/archhatch/simulation/control_node.py
+++ b/archhatch/simulation/control_node.py
@@ -69,7 +69,7 @@
 class _Entry:
     """Takes the place of the HTTP listener: the same handler, called over the simulated network."""
 
-    leaving = False
+    is_draining = False
 
     def __init__(self, place, answer):
         self._answer = answer
