--- a/archhatch/routing/schemas.py
+++ b/archhatch/routing/schemas.py
@@ -100,8 +100,9 @@
     TenantTable = fields.List(fields.Nested(TenantSchema))
     Limits = fields.Nested(LimitsSchema)
 
+    # marshmallow runs these hooks in the order of their names, and a refusal lists their errors in that order.
     @validates_schema
-    def check_routes(self, data: dict[str, Any], **_options: object) -> None:
+    def validate_routes(self, data: dict[str, Any], **_options: object) -> None:
         """Checks that routes name known services, and that no two share a place or a name."""
         services = {service["Name"] for service in data.get("ServiceTable", [])}
         if len(services) != len(data.get("ServiceTable", [])):
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -61,6 +61,15 @@
         check_config(changed(BAD[why]))
 
 
+def test_a_refusal_lists_the_errors_of_tenants_before_those_of_routes():
+    doc = changed(lambda d: d["RouteTable"][0].update(Service="nope"))
+    doc["TenantTable"] = [{"Name": "t", "ApiKeys": ["a"]}, {"Name": "t", "ApiKeys": ["b"]}]
+    with pytest.raises(InvalidConfigError) as refused:
+        check_config(doc)
+    text = str(refused.value)
+    assert text.index("tenant t stands twice") < text.index("unknown service nope")
+
+
 @pytest.mark.parametrize("doc", [None, 5, [], "x"])
 def test_no_plan_at_all(doc):
     with pytest.raises(InvalidConfigError):
